--- a/crates/pinerill-calls/src/cells.rs
+++ b/crates/pinerill-calls/src/cells.rs
@@ -55,7 +55,7 @@
 
 impl Partition {
     /// How these workers are divided, if they were divided like this before.
-    pub fn next(&self, workers: &[WorkerEntry]) -> Partition {
+    pub fn repartition(&self, workers: &[WorkerEntry]) -> Partition {
         let mut sizes: HashMap<&str, usize> = HashMap::new();
         for worker in workers {
             *sizes.entry(worker.service.as_str()).or_default() += 1;
@@ -75,7 +75,7 @@
     }
 
     /// Whether a worker is in the cell with this index.
-    pub fn is_in(&self, index: u32, worker: &WorkerEntry) -> bool {
+    pub fn cell_contains(&self, index: u32, worker: &WorkerEntry) -> bool {
         let parts = self.parts_of_service(&worker.service);
         index % parts == part(worker, parts)
     }
--- a/crates/pinerill-calls/src/digest.rs
+++ b/crates/pinerill-calls/src/digest.rs
@@ -17,11 +17,11 @@
 impl Digest {
     /// The digest of a content.
     pub fn of<T: Serialize>(content: &T) -> Self {
-        Self::of_as(Format::NEWEST, content)
+        Self::of_in_format(Format::NEWEST, content)
     }
 
     /// The digest that a process of an older format gives a content.
-    pub fn of_as<T: Serialize>(format: Format, content: &T) -> Self {
+    pub fn of_in_format<T: Serialize>(format: Format, content: &T) -> Self {
         let bytes = encode_as(format, content).into_iter();
         Digest(bytes.fold(FNV_OFFSET, |hash, byte| {
             (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
--- a/crates/pinerill-calls/src/directory.rs
+++ b/crates/pinerill-calls/src/directory.rs
@@ -25,9 +25,9 @@
 
 impl WorkerId {
     /// The start of a worker of this name with this birth.
-    pub fn new(name: &str, birth_ms: Option<u64>) -> Self {
-        WorkerId(match birth_ms {
-            Some(birth_ms) => format!("{name}{BIRTH_MARK}{birth_ms}"),
+    pub fn new(name: &str, started_at_ms: Option<u64>) -> Self {
+        WorkerId(match started_at_ms {
+            Some(started_at_ms) => format!("{name}{BIRTH_MARK}{started_at_ms}"),
             // A name that looks as if it told a birth is marked as one that doesn't.
             None if name.contains(BIRTH_MARK) => format!("{name}{BIRTH_MARK}"),
             None => name.to_owned(),
@@ -40,7 +40,7 @@
     }
 
     /// The Unix millisecond of its start, if it is told.
-    pub fn birth_ms(&self) -> Option<u64> {
+    pub fn started_at_ms(&self) -> Option<u64> {
         self.parts().1.parse().ok()
     }
 
@@ -158,19 +158,19 @@
 /// A list whose pages lead back to one that was read already.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("a page's token was told before: the list has no end")]
-pub struct EndlessList;
+pub struct RepeatedPageToken;
 
 impl ListReading {
     /// Takes in a page. Returns the token of the next one, if there is one.
     ///
     /// # Errors
-    /// [`EndlessList`].
-    pub fn take(&mut self, page: WorkerPage) -> Result<Option<String>, EndlessList> {
+    /// [`RepeatedPageToken`].
+    pub fn add_page(&mut self, page: WorkerPage) -> Result<Option<String>, RepeatedPageToken> {
         self.pages += 1;
         self.workers.extend(page.workers);
         self.skipped.extend(page.skipped);
         match page.next {
-            Some(token) if !self.tokens.insert(token.clone()) => Err(EndlessList),
+            Some(token) if !self.tokens.insert(token.clone()) => Err(RepeatedPageToken),
             next => Ok(next),
         }
     }
@@ -223,7 +223,7 @@
         workers.sort_by(|left, right| {
             let (left, right) = (&left.id, &right.id);
             let by_name = left.name().cmp(right.name());
-            by_name.then(right.birth_ms().cmp(&left.birth_ms()))
+            by_name.then(right.started_at_ms().cmp(&left.started_at_ms()))
         });
         workers.dedup_by(|later, kept| later.id.name() == kept.id.name());
         let digest = Digest::of(&workers);
@@ -236,12 +236,12 @@
     }
 
     /// Its digest in an older format.
-    pub fn digest_as(&self, format: Format) -> Digest {
-        Digest::of_as(format, &self.workers)
+    pub fn digest_in_format(&self, format: Format) -> Digest {
+        Digest::of_in_format(format, &self.workers)
     }
 
     /// Whether it names this start of a worker.
-    pub fn lists(&self, worker: &WorkerId) -> bool {
+    pub fn contains(&self, worker: &WorkerId) -> bool {
         let place = self
             .workers
             .binary_search_by(|one| one.id.name().cmp(worker.name()));
@@ -254,7 +254,7 @@
     }
 
     /// What changes from an earlier directory to this one.
-    pub fn since(&self, earlier: &Directory) -> DirectoryChange {
+    pub fn changes_since(&self, earlier: &Directory) -> DirectoryChange {
         let before: HashMap<&str, &WorkerEntry> = earlier.by_id();
         let now = self.by_id();
         let gone = earlier
@@ -275,11 +275,11 @@
     ///
     /// # Errors
     /// [`DirectoryMismatch`] if it does not lead there; the whole must be asked for.
-    pub fn updated(
+    pub fn apply_update(
         held: Option<&Directory>,
         update: DirectoryUpdate,
     ) -> Result<Directory, DirectoryMismatch> {
-        let directory = Self::changed(held, update.change)?;
+        let directory = Self::apply_change(held, update.change)?;
         match directory.digest == update.digest {
             true => Ok(directory),
             false => Err(DirectoryMismatch),
@@ -290,7 +290,7 @@
     ///
     /// # Errors
     /// [`DirectoryMismatch`] if the change needs a directory and none is held.
-    pub fn changed(
+    pub fn apply_change(
         held: Option<&Directory>,
         change: DirectoryChange,
     ) -> Result<Directory, DirectoryMismatch> {
@@ -327,7 +327,7 @@
 
 impl DirectoryHistory {
     /// Takes in a whole reading of the list that began at that time; true if it is news.
-    pub fn take(&mut self, began_ms: u64, workers: Vec<WorkerEntry>) -> bool {
+    pub fn record_reading(&mut self, began_ms: u64, workers: Vec<WorkerEntry>) -> bool {
         self.read_ms = self.read_ms.max(Some(began_ms));
         let directory = Directory::new(workers);
         if self.directories.back() == Some(&directory) {
@@ -341,7 +341,7 @@
     }
 
     /// The present directory; none before the first reading.
-    pub fn present(&self) -> Option<&Directory> {
+    pub fn current(&self) -> Option<&Directory> {
         self.directories.back()
     }
 
@@ -352,7 +352,7 @@
     }
 
     /// The same digest, if the directory that it names is remembered.
-    pub fn known(&self, held: Option<Digest>) -> Option<Digest> {
+    pub fn retained_digest(&self, held: Option<Digest>) -> Option<Digest> {
         let mut kept = self.directories.iter();
         kept.find(|one| Some(one.digest) == held)
             .map(Directory::digest)
@@ -362,18 +362,18 @@
     /// the present one or nothing was read yet. Who holds none that is known here gets
     /// the whole.
     pub fn update_from(&self, held: Option<Digest>) -> Option<DirectoryUpdate> {
-        let present = self.present()?;
-        if held == Some(present.digest) {
+        let current = self.current()?;
+        if held == Some(current.digest) {
             return None;
         }
         let mut kept = self.directories.iter().rev();
         let earlier = kept.find(|one| Some(one.digest) == held);
         let change = match earlier {
-            Some(earlier) => present.since(earlier),
-            None => DirectoryChange::Whole(present.workers.clone()),
+            Some(earlier) => current.changes_since(earlier),
+            None => DirectoryChange::Whole(current.workers.clone()),
         };
         Some(DirectoryUpdate {
-            digest: present.digest,
+            digest: current.digest,
             change,
         })
     }
--- a/crates/pinerill-calls/src/encoding.rs
+++ b/crates/pinerill-calls/src/encoding.rs
@@ -128,7 +128,7 @@
 ///
 /// # Errors
 /// [`MessageError::Format`] when the bytes are of an unknown format.
-pub fn restamp(mut bytes: Vec<u8>, format: Format) -> Result<Vec<u8>, MessageError> {
+pub fn set_format(mut bytes: Vec<u8>, format: Format) -> Result<Vec<u8>, MessageError> {
     format_of(&bytes)?;
     bytes[0] = format.byte();
     Ok(bytes)
--- a/crates/pinerill-calls/src/formats/mod.rs
+++ b/crates/pinerill-calls/src/formats/mod.rs
@@ -28,9 +28,9 @@
 
 pub use requests::OlderPutTable;
 pub use v4::DirectoryPosition;
-pub use v5::Table as TableOf5;
-pub use v6::Table as TableOf6;
-pub use v7::Table as TableOf7;
+pub use v5::Table as TableV5;
+pub use v6::Table as TableV6;
+pub use v7::Table as TableV7;
 
 /// A format has no form for a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
@@ -56,7 +56,7 @@
     if format == Format::NEWEST {
         return Ok(encode(&request));
     }
-    let request = restamp_calls_of(request, format);
+    let request = convert_calls_in(request, format);
     let what = request.purpose();
     let missing = |_| NotExpressible { format, what };
     Ok(match format.byte() {
@@ -116,13 +116,13 @@
 }
 
 /// Writes a watch of format 4 by a node that holds the directory with this place.
-pub fn encode_placed_watch(watch: WatchRequest, place: Option<DirectoryPosition>) -> Vec<u8> {
+pub fn encode_positioned_watch(watch: WatchRequest, place: Option<DirectoryPosition>) -> Vec<u8> {
     let request = v4::Request::Watch(v4::Watch::new(watch, place));
     encode_as(Format::OLDEST, &request)
 }
 
 /// The place of the directory in an answer of format 4 to a watch.
-pub fn directory_place(bytes: &[u8]) -> Option<DirectoryPosition> {
+pub fn directory_position(bytes: &[u8]) -> Option<DirectoryPosition> {
     match decode_any(bytes).ok()? {
         v4::Response::Watch(watched) => watched.position(),
         _ => None,
@@ -131,12 +131,12 @@
 
 /// The digest by which a process of formats 5 to 7 names the processes that it was told.
 pub fn older_processes_digest(format: Format, processes: &Processes) -> Digest {
-    Digest::of_as(format, &OlderProcesses::from(processes.clone()))
+    Digest::of_in_format(format, &OlderProcesses::from(processes.clone()))
 }
 
 /// A stored or sent call of an item, in a format that its reader knows. Bytes that are no
 /// call stay as they are: who reads them says so.
-pub fn restamp_call(call: Vec<u8>, format: Format) -> Vec<u8> {
+pub fn convert_call(call: Vec<u8>, format: Format) -> Vec<u8> {
     let Ok(plain) = decompress(&call) else {
         return call;
     };
@@ -151,16 +151,16 @@
 }
 
 /// Names a format in all calls of a job.
-pub fn restamp_job(job: &mut NewCallJob, format: Format) {
+pub fn convert_job(job: &mut NewCallJob, format: Format) {
     for item in &mut job.items {
-        item.call = restamp_call(std::mem::take(&mut item.call), format);
+        item.call = convert_call(std::mem::take(&mut item.call), format);
     }
 }
 
-fn restamp_calls_of(request: CallsRequest, format: Format) -> CallsRequest {
+fn convert_calls_in(request: CallsRequest, format: Format) -> CallsRequest {
     match request {
         CallsRequest::SubmitJob(mut job) => {
-            restamp_job(&mut job, format);
+            convert_job(&mut job, format);
             CallsRequest::SubmitJob(job)
         }
         other => other,
--- a/crates/pinerill-calls/src/session.rs
+++ b/crates/pinerill-calls/src/session.rs
@@ -144,7 +144,7 @@
     ///
     /// # Errors
     /// As [`PeerFormats::exchange`].
-    pub async fn ask_anew<Sent>(
+    pub async fn ask_in_newest_format<Sent>(
         &self,
         peer: SocketAddr,
         request: &CallsRequest,
@@ -184,7 +184,7 @@
     {
         let encode = |format| encode_for(request.clone(), format, peer);
         let (format, bytes) = self.exchange_from(assumed, peer, encode, send).await?;
-        let response = decode_response(&bytes).map_err(|error| unreadable(peer, error))?;
+        let response = decode_response(&bytes).map_err(|error| unreadable_answer(peer, error))?;
         Ok(FormattedAnswer { response, format })
     }
 }
@@ -219,7 +219,7 @@
 }
 
 /// The error of an answer that can't be read: what was asked may have been done.
-pub fn unreadable(peer: SocketAddr, error: impl std::fmt::Display) -> CallError {
+pub fn unreadable_answer(peer: SocketAddr, error: impl std::fmt::Display) -> CallError {
     CallError {
         kind: CallErrorKind::Unknown,
         step: "read answer".to_owned(),
@@ -243,8 +243,8 @@
 
 fn bytes_of(peer: SocketAddr, response: Response) -> Result<(Format, Vec<u8>), CallError> {
     let Response::Calls(bytes) = response else {
-        return Err(unreadable(peer, "an answer of another kind"));
+        return Err(unreadable_answer(peer, "an answer of another kind"));
     };
-    let format = format_of(&bytes).map_err(|error| unreadable(peer, error))?;
+    let format = format_of(&bytes).map_err(|error| unreadable_answer(peer, error))?;
     Ok((format, bytes))
 }
--- a/crates/pinerill-calls/tests/cells.rs
+++ b/crates/pinerill-calls/tests/cells.rs
@@ -19,7 +19,7 @@
 }
 
 fn partition(workers: &[WorkerEntry]) -> Partition {
-    Partition::default().next(workers)
+    Partition::default().repartition(workers)
 }
 
 #[test]
@@ -62,11 +62,14 @@
     let before = workers("s", 0..3_000);
     let first = partition(&before);
     let after = workers("s", 300..3_300);
-    let second = first.next(&after);
+    let second = first.repartition(&after);
     assert_eq!(second.cell_count(), first.cell_count());
     for worker in workers("s", 300..3_000) {
         for index in 0..first.cell_count() {
-            assert_eq!(first.is_in(index, &worker), second.is_in(index, &worker));
+            assert_eq!(
+                first.cell_contains(index, &worker),
+                second.cell_contains(index, &worker)
+            );
         }
     }
 }
@@ -77,10 +80,10 @@
     let mut held = partition(&workers("s", 0..801));
     let count = held.cell_count();
     for size in [790, 810, 700, 801, 600] {
-        held = held.next(&workers("s", 0..size));
+        held = held.repartition(&workers("s", 0..size));
         assert_eq!(held.cell_count(), count, "{size} workers");
     }
-    assert_eq!(held.next(&workers("s", 0..100)).cell_count(), 1);
+    assert_eq!(held.repartition(&workers("s", 0..100)).cell_count(), 1);
 }
 
 #[test]
--- a/crates/pinerill-calls/tests/directory.rs
+++ b/crates/pinerill-calls/tests/directory.rs
@@ -2,8 +2,8 @@
 
 use pinerill_calls::digest::Digest;
 use pinerill_calls::directory::{
-    Directory, DirectoryChange, DirectoryHistory, DirectoryMismatch, EndlessList, ListReading,
-    SkippedEntries, WorkerEntry, WorkerId, WorkerPage, WorkerState,
+    Directory, DirectoryChange, DirectoryHistory, DirectoryMismatch, ListReading,
+    RepeatedPageToken, SkippedEntries, WorkerEntry, WorkerId, WorkerPage, WorkerState,
 };
 use pinerill_calls::message::encode;
 use proptest::prelude::*;
@@ -30,20 +30,20 @@
 #[test]
 fn the_order_of_the_list_is_no_change() {
     let mut history = DirectoryHistory::default();
-    assert!(history.take(READ_MS, workers(0..5)));
+    assert!(history.record_reading(READ_MS, workers(0..5)));
     let mut reversed = workers(0..5);
     reversed.reverse();
-    assert!(!history.take(READ_MS, reversed));
+    assert!(!history.record_reading(READ_MS, reversed));
 }
 
 #[test]
 fn one_worker_that_changes_is_told_alone() {
     let mut history = DirectoryHistory::default();
-    history.take(READ_MS, workers(0..130));
-    let held = history.present().unwrap().clone();
+    history.record_reading(READ_MS, workers(0..130));
+    let held = history.current().unwrap().clone();
     let mut changed = workers(0..130);
     changed[7].state = WorkerState::Draining;
-    history.take(READ_MS, changed);
+    history.record_reading(READ_MS, changed);
     let update = history.update_from(Some(held.digest())).unwrap();
     // Some 5 kB if all of them were told.
     assert!(
@@ -51,8 +51,8 @@
         "{} bytes",
         encode(&update).len()
     );
-    let updated = Directory::updated(Some(&held), update).unwrap();
-    assert_eq!(Some(&updated), history.present());
+    let updated = Directory::apply_update(Some(&held), update).unwrap();
+    assert_eq!(Some(&updated), history.current());
     assert_eq!(history.update_from(Some(updated.digest())), None);
 }
 
@@ -60,14 +60,14 @@
 fn who_holds_nothing_or_something_unknown_gets_the_whole() {
     let mut history = DirectoryHistory::default();
     assert_eq!(history.update_from(None), None);
-    history.take(READ_MS, workers(0..3));
+    history.record_reading(READ_MS, workers(0..3));
     let stranger = Digest::of(&"another directory");
     for held in [None, Some(stranger)] {
         let update = history.update_from(held).unwrap();
         assert!(matches!(update.change, DirectoryChange::Whole(_)));
         assert_eq!(
-            Directory::updated(None, update).as_ref().ok(),
-            history.present()
+            Directory::apply_update(None, update).as_ref().ok(),
+            history.current()
         );
     }
 }
@@ -75,23 +75,23 @@
 #[test]
 fn a_change_that_belongs_to_another_directory_is_refused() {
     let mut history = DirectoryHistory::default();
-    history.take(READ_MS, workers(0..3));
-    let first = history.present().unwrap().clone();
-    history.take(READ_MS, workers(1..4));
-    let second = history.present().unwrap().clone();
-    history.take(READ_MS, workers(2..6));
+    history.record_reading(READ_MS, workers(0..3));
+    let first = history.current().unwrap().clone();
+    history.record_reading(READ_MS, workers(1..4));
+    let second = history.current().unwrap().clone();
+    history.record_reading(READ_MS, workers(2..6));
     let from_second = history.update_from(Some(second.digest())).unwrap();
     // The answer that led from the first to the second was lost.
-    let late = Directory::updated(Some(&first), from_second.clone());
+    let late = Directory::apply_update(Some(&first), from_second.clone());
     assert_eq!(late, Err(DirectoryMismatch));
     assert_eq!(
-        Directory::updated(None, from_second.clone()),
+        Directory::apply_update(None, from_second.clone()),
         Err(DirectoryMismatch)
     );
     // The same answer twice.
-    let third = Directory::updated(Some(&second), from_second.clone()).unwrap();
-    let twice = Directory::updated(Some(&third), from_second).unwrap();
-    assert_eq!(Some(&twice), history.present());
+    let third = Directory::apply_update(Some(&second), from_second.clone()).unwrap();
+    let twice = Directory::apply_update(Some(&third), from_second).unwrap();
+    assert_eq!(Some(&twice), history.current());
 }
 
 proptest! {
@@ -106,18 +106,18 @@
         let mut history = DirectoryHistory::default();
         let mut seen = Vec::new();
         for reading in &readings {
-            history.take(READ_MS, reading.iter().map(|(number, slots)| worker(*number, *slots)).collect());
-            seen.push(history.present().unwrap().clone());
+            history.record_reading(READ_MS, reading.iter().map(|(number, slots)| worker(*number, *slots)).collect());
+            seen.push(history.current().unwrap().clone());
         }
         let held = &seen[held_at % seen.len()];
         let asked = &seen[asked_at % seen.len()];
         match history.update_from(Some(asked.digest())) {
-            None => prop_assert_eq!(Some(asked), history.present()),
+            None => prop_assert_eq!(Some(asked), history.current()),
             Some(update) => {
-                let right = Directory::updated(Some(asked), update.clone());
-                prop_assert_eq!(right.as_ref().ok(), history.present());
-                if let Ok(updated) = Directory::updated(Some(held), update) {
-                    prop_assert_eq!(Some(&updated), history.present());
+                let right = Directory::apply_update(Some(asked), update.clone());
+                prop_assert_eq!(right.as_ref().ok(), history.current());
+                if let Ok(updated) = Directory::apply_update(Some(held), update) {
+                    prop_assert_eq!(Some(&updated), history.current());
                 }
             }
         }
@@ -127,17 +127,17 @@
 #[test]
 fn a_name_and_a_birth_are_told_apart_whatever_the_name() {
     for name in ["a", "a@5", "@", "a@"] {
-        for birth_ms in [None, Some(7)] {
-            let id = WorkerId::new(name, birth_ms);
-            assert_eq!((id.name(), id.birth_ms()), (name, birth_ms));
+        for started_at_ms in [None, Some(7)] {
+            let id = WorkerId::new(name, started_at_ms);
+            assert_eq!((id.name(), id.started_at_ms()), (name, started_at_ms));
         }
     }
 }
 
 #[test]
 fn of_two_starts_of_one_worker_a_directory_names_the_later_one() {
-    let born = |birth_ms: Option<u64>| WorkerEntry {
-        id: WorkerId::new("w", birth_ms),
+    let born = |started_at_ms: Option<u64>| WorkerEntry {
+        id: WorkerId::new("w", started_at_ms),
         ..worker(1, 4)
     };
     for order in [[Some(5), Some(50), None], [None, Some(50), Some(5)]] {
@@ -155,7 +155,7 @@
         skipped: SkippedEntries::default(),
     };
     let mut reading = ListReading::default();
-    assert_eq!(reading.take(page("p1")), Ok(Some("p1".to_owned())));
-    assert_eq!(reading.take(page("p2")), Ok(Some("p2".to_owned())));
-    assert_eq!(reading.take(page("p1")), Err(EndlessList));
+    assert_eq!(reading.add_page(page("p1")), Ok(Some("p1".to_owned())));
+    assert_eq!(reading.add_page(page("p2")), Ok(Some("p2".to_owned())));
+    assert_eq!(reading.add_page(page("p1")), Err(RepeatedPageToken));
 }
--- a/crates/pinerill-calls/tests/formats.rs
+++ b/crates/pinerill-calls/tests/formats.rs
@@ -7,8 +7,8 @@
 use pinerill_calls::directory::{Directory, DirectoryChange, WorkerId};
 use pinerill_calls::encoding::{format_of, Format};
 use pinerill_calls::formats::{
-    decode_request, decode_response, directory_place, encode_placed_watch, encode_request,
-    encode_response, restamp_call,
+    convert_call, decode_request, decode_response, directory_position, encode_positioned_watch,
+    encode_request, encode_response,
 };
 use pinerill_calls::job::ItemCall;
 use pinerill_calls::message::{
@@ -23,7 +23,7 @@
 #[test]
 fn requests_are_read_and_written_as_each_build_writes_them() {
     for golden in golden::all() {
-        for bytes in golden.of("request") {
+        for bytes in golden.entries("request") {
             let (format, request) = decode_request(bytes).expect("a request");
             assert_eq!(format.byte(), golden.format);
             if names_a_place(golden.format, &request) {
@@ -39,7 +39,7 @@
 fn answers_are_read_and_written_as_each_build_writes_them() {
     for golden in golden::all() {
         let format = Format::from_byte(golden.format).expect("a format");
-        for bytes in golden.of("response") {
+        for bytes in golden.entries("response") {
             let response = decode_response(bytes).expect("a response");
             let is_watch = matches!(response, CallsResponse::Watch(_));
             if is_watch && golden.format == 4 {
@@ -54,15 +54,15 @@
 #[test]
 fn a_node_gives_back_the_place_that_a_leader_of_format_4_told() {
     let golden = &golden::all()[0];
-    let answer = golden.of("response").next().expect("an answer");
-    let place = directory_place(answer);
+    let answer = golden.entries("response").next().expect("an answer");
+    let place = directory_position(answer);
     assert!(place.is_some());
-    let asked = golden.of("request").next().expect("a watch");
+    let asked = golden.entries("request").next().expect("a watch");
     let (_, request) = decode_request(asked).expect("a watch");
     let CallsRequest::Watch(watch) = request else {
         panic!("{request:?}");
     };
-    let written = encode_placed_watch(watch, place);
+    let written = encode_positioned_watch(watch, place);
     let (_, again) = decode_request(&written).expect("a watch");
     let CallsRequest::Watch(again) = again else {
         panic!("{again:?}");
@@ -74,7 +74,7 @@
 fn directories_are_named_as_builds_of_each_format_name_them() {
     for golden in golden::all().into_iter().skip(1) {
         let format = Format::from_byte(golden.format).expect("a format");
-        let answer = golden.of("response").next().expect("an answer");
+        let answer = golden.entries("response").next().expect("an answer");
         let CallsResponse::Watch(watch) = decode_response(answer).expect("an answer") else {
             panic!("not a watch");
         };
@@ -85,7 +85,7 @@
         };
         let directory = Directory::new(workers);
         assert_eq!(
-            directory.digest_as(format),
+            directory.digest_in_format(format),
             update.digest,
             "format {format}"
         );
@@ -95,11 +95,11 @@
 #[test]
 fn calls_of_items_are_read_whatever_build_sent_them() {
     for golden in golden::all() {
-        let stored = golden.of("item_call").next().expect("a call");
+        let stored = golden.entries("item_call").next().expect("a call");
         let call: ItemCall = decode_any(stored).expect("a call");
         assert_eq!((call.path.as_str(), call.body.len()), ("/b/x", 3));
         for format in Format::newest_first() {
-            let sent = restamp_call(compress(stored), format);
+            let sent = convert_call(compress(stored), format);
             let plain = decompress(&sent).expect("a call");
             assert_eq!(format_of(&plain), Ok(format));
             assert_eq!(decode_any::<ItemCall>(&plain).as_ref(), Ok(&call));
@@ -144,12 +144,12 @@
 #[test]
 fn messages_that_are_cut_off_are_refused() {
     for golden in golden::all() {
-        for bytes in golden.of("request") {
+        for bytes in golden.entries("request") {
             for length in 0..bytes.len() {
                 assert!(decode_request(&bytes[..length]).is_err());
             }
         }
-        for bytes in golden.of("response") {
+        for bytes in golden.entries("response") {
             for length in 0..bytes.len() {
                 assert!(decode_response(&bytes[..length]).is_err());
             }
--- a/crates/pinerill-calls/tests/support/golden.rs
+++ b/crates/pinerill-calls/tests/support/golden.rs
@@ -16,7 +16,7 @@
 
 impl Golden {
     /// All bytes of a kind, in order.
-    pub fn of<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = &'a [u8]> {
+    pub fn entries<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = &'a [u8]> {
         let lines = self.lines.iter();
         lines
             .filter(move |(one, _)| one == kind)
--- a/crates/pinerill-cluster/src/cells.rs
+++ b/crates/pinerill-cluster/src/cells.rs
@@ -124,12 +124,12 @@
     /// Takes in a whole reading of the list that began at a moment; true if it is news.
     pub fn take_workers(&mut self, began_ms: u64, workers: Vec<WorkerEntry>) -> bool {
         self.workers = Some(workers.len());
-        self.partition = self.partition.next(&workers);
+        self.partition = self.partition.repartition(&workers);
         let divided = self.partition.divide(&workers);
         self.resize(divided.len());
         let mut is_news = false;
         for (cell, workers) in self.cells.iter_mut().zip(divided) {
-            if cell.directory.take(began_ms, workers) {
+            if cell.directory.record_reading(began_ms, workers) {
                 cell.updates.clear();
                 is_news = true;
             }
@@ -147,8 +147,8 @@
         let mut directories = self
             .cells
             .iter()
-            .filter_map(|cell| cell.directory.present());
-        directories.any(|directory| directory.lists(worker))
+            .filter_map(|cell| cell.directory.current());
+        directories.any(|directory| directory.contains(worker))
     }
 
     /// How many cells there are.
@@ -182,7 +182,7 @@
         let Cell {
             directory, updates, ..
         } = &mut self.cells[index];
-        let held = directory.known(held);
+        let held = directory.retained_digest(held);
         if let Some(known) = updates.get(&held) {
             return Some(known.clone());
         }
--- a/crates/pinerill-cluster/src/machine/formats.rs
+++ b/crates/pinerill-cluster/src/machine/formats.rs
@@ -7,7 +7,7 @@
 use pinerill_calls::encoding::{decode_any, encode, encode_as, format_of, Format, MessageError};
 use pinerill_calls::evacuation::Evacuations;
 use pinerill_calls::formats::{
-    NotExpressible, OlderPutTable, OlderTable, TableOf5, TableOf6, TableOf7,
+    NotExpressible, OlderPutTable, OlderTable, TableV5, TableV6, TableV7,
 };
 use pinerill_calls::job::{CallJobId, ItemReport, NewCallJob};
 use pinerill_calls::message::{MachineRecord, PutTable};
@@ -23,9 +23,9 @@
 pub fn read_command(bytes: &[u8]) -> Result<(Format, StampedCommand), MessageError> {
     let format = format_of(bytes)?;
     let command = match format.byte() {
-        4 | 5 => read_older::<TableOf5>(bytes)?,
-        6 => read_older::<TableOf6>(bytes)?,
-        7 => read_older::<TableOf7>(bytes)?,
+        4 | 5 => read_older::<TableV5>(bytes)?,
+        6 => read_older::<TableV6>(bytes)?,
+        7 => read_older::<TableV7>(bytes)?,
         _ => decode_any(bytes)?,
     };
     Ok((format, command))
@@ -37,9 +37,9 @@
 /// [`NotExpressible`] if the format has no such command.
 pub fn write_command(command: StampedCommand, format: Format) -> Result<Vec<u8>, NotExpressible> {
     match format.byte() {
-        4 | 5 => write_older::<TableOf5>(command, format),
-        6 => write_older::<TableOf6>(command, format),
-        7 => write_older::<TableOf7>(command, format),
+        4 | 5 => write_older::<TableV5>(command, format),
+        6 => write_older::<TableV6>(command, format),
+        7 => write_older::<TableV7>(command, format),
         _ => Ok(encode(&command)),
     }
 }
@@ -51,9 +51,9 @@
 pub(super) fn read_machine(bytes: &[u8]) -> Result<ClusterMachine, MessageError> {
     let format = format_of(bytes)?;
     let mut machine = match format.byte() {
-        4 | 5 => decode_any::<OlderMachine<TableOf5>>(bytes)?.into(),
-        6 => decode_any::<OlderMachine<TableOf6>>(bytes)?.into(),
-        7 => decode_any::<OlderMachine<TableOf7>>(bytes)?.into(),
+        4 | 5 => decode_any::<OlderMachine<TableV5>>(bytes)?.into(),
+        6 => decode_any::<OlderMachine<TableV6>>(bytes)?.into(),
+        7 => decode_any::<OlderMachine<TableV7>>(bytes)?.into(),
         _ => decode_any::<ClusterMachine>(bytes)?,
     };
     machine.format = Some(format);
@@ -64,9 +64,9 @@
 pub(super) fn write_machine(machine: &ClusterMachine) -> Vec<u8> {
     let format = machine.format();
     match format.byte() {
-        4 | 5 => encode_as(format, &MachineView::<TableOf5>::of(machine)),
-        6 => encode_as(format, &MachineView::<TableOf6>::of(machine)),
-        7 => encode_as(format, &MachineView::<TableOf7>::of(machine)),
+        4 | 5 => encode_as(format, &MachineView::<TableV5>::of(machine)),
+        6 => encode_as(format, &MachineView::<TableV6>::of(machine)),
+        7 => encode_as(format, &MachineView::<TableV7>::of(machine)),
         _ => encode(machine),
     }
 }
--- a/crates/pinerill-cluster/src/server/jobs.rs
+++ b/crates/pinerill-cluster/src/server/jobs.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pinerill_calls::formats::restamp_job;
+use pinerill_calls::formats::convert_job;
 use pinerill_calls::job::{CallJobId, ItemReport, ListedItem, ListedState, NewCallJob, ResultPage};
 use pinerill_calls::message::{
     CallsResponse, Format, LeaseRequest, LeaseResponse, LeasedItem, ReadItem, ReadResults,
@@ -80,7 +80,7 @@
         }
         let in_force = self.group.with_machine(|machine| machine.format());
         if format != in_force {
-            restamp_job(&mut job, in_force);
+            convert_job(&mut job, in_force);
         }
         without_counted_limit(&mut job, in_force, self.table_in_force().as_deref());
         let command = Command::SubmitJob {
--- a/crates/pinerill-cluster/src/server/older_builds.rs
+++ b/crates/pinerill-cluster/src/server/older_builds.rs
@@ -4,7 +4,7 @@
 
 use pinerill_calls::digest::Digest;
 use pinerill_calls::directory::{Directory, DirectoryChange, DirectoryUpdate};
-use pinerill_calls::formats::{older_processes_digest, restamp_call};
+use pinerill_calls::formats::{convert_call, older_processes_digest};
 use pinerill_calls::job::NewCallJob;
 use pinerill_calls::message::{CallsRequest, CallsResponse, Format, WatchRequest, WatchResponse};
 use pinerill_calls::packed::Packed;
@@ -68,7 +68,7 @@
             CallsRequest::SubmitJob(job) => self.submit_job(format, *job).await,
             CallsRequest::ReadItem(read) => match self.read_item(read).await? {
                 CallsResponse::Item(Some(call)) => {
-                    Ok(CallsResponse::Item(Some(restamp_call(call, format))))
+                    Ok(CallsResponse::Item(Some(convert_call(call, format))))
                 }
                 other => Ok(other),
             },
@@ -129,7 +129,7 @@
             return update;
         };
         let directory = Directory::new(workers);
-        let digest = directory.digest_as(format);
+        let digest = directory.digest_in_format(format);
         let mut digests = self.older_digests.lock();
         digests.keep(digest, update.digest);
         DirectoryUpdate {
--- a/crates/pinerill-cluster/src/server/peers.rs
+++ b/crates/pinerill-cluster/src/server/peers.rs
@@ -236,7 +236,10 @@
         });
         // The leader learns from this request which formats this machine reads.
         let send = |request| self.pool.call(address, request, ANSWER_TIME);
-        let answered = self.peer_formats.ask_anew(address, &request, send).await;
+        let answered = self
+            .peer_formats
+            .ask_in_newest_format(address, &request, send)
+            .await;
         let answer = answered.map(|answered| answered.response);
         if let Ok(CallsResponse::Joined(joined)) = answer {
             let mut told = self.told_digests.lock();
--- a/crates/pinerill-cluster/src/server/workers.rs
+++ b/crates/pinerill-cluster/src/server/workers.rs
@@ -95,7 +95,7 @@
         let mut token: Option<String> = None;
         for _ in 0..PAGE_LIMIT {
             let page = self.read_page_at_last(client, token.as_deref()).await?;
-            token = reading.take(page)?;
+            token = reading.add_page(page)?;
             if token.is_none() {
                 return Ok(reading);
             }
--- a/crates/pinerill-cluster/tests/cells.rs
+++ b/crates/pinerill-cluster/tests/cells.rs
@@ -69,7 +69,7 @@
     let (mut cells, placed) = started(nodes, workers);
     let held: Vec<_> = placed
         .iter()
-        .map(|cell| cells.directory(*cell).present().map(|held| held.digest()))
+        .map(|cell| cells.directory(*cell).current().map(|held| held.digest()))
         .collect();
     let moved = workers / 100;
     cells.take_workers(1_000, (moved..workers + moved).map(worker).collect());
@@ -128,7 +128,7 @@
     let digest = |cells: &Cells| {
         cells
             .directory(placed[0])
-            .present()
+            .current()
             .map(|held| held.digest())
     };
     let old = digest(&cells);
--- a/crates/pinerill-cluster/tests/stored_formats.rs
+++ b/crates/pinerill-cluster/tests/stored_formats.rs
@@ -47,7 +47,7 @@
 fn commands_that_another_build_wrote_are_not_lost() {
     for golden in golden::all() {
         let mut machine = ClusterMachine::default();
-        for (index, command) in golden.of("command").enumerate() {
+        for (index, command) in golden.entries("command").enumerate() {
             support::apply(
                 &mut machine,
                 index as u64 + 1,
@@ -62,7 +62,7 @@
 #[test]
 fn a_snapshot_that_another_build_wrote_does_not_end_the_process() {
     for golden in golden::all() {
-        let snapshot = golden.of("snapshot").next().expect("a snapshot");
+        let snapshot = golden.entries("snapshot").next().expect("a snapshot");
         let mut machine = ClusterMachine::default();
         let restored = machine.restore(snapshot);
         assert!(restored.is_ok(), "format {}: {restored:?}", golden.format);
@@ -73,7 +73,7 @@
 #[test]
 fn nothing_is_rewritten_in_another_format_than_the_one_in_force() {
     for golden in golden::all() {
-        let snapshot = golden.of("snapshot").next().expect("a snapshot");
+        let snapshot = golden.entries("snapshot").next().expect("a snapshot");
         let mut machine = ClusterMachine::default();
         machine.restore(snapshot).expect("a snapshot");
         assert_eq!(machine.format().byte(), golden.format);
@@ -91,7 +91,7 @@
 #[test]
 fn commands_are_written_as_the_build_of_that_format_writes_them() {
     for golden in golden::all() {
-        for bytes in golden.of("command") {
+        for bytes in golden.entries("command") {
             let (format, command) = read_command(bytes).expect("a command");
             assert_eq!(format.byte(), golden.format);
             let written = write_command(command, format).expect("expressible");
@@ -103,7 +103,12 @@
 #[test]
 fn the_newest_format_seen_stays_in_force() {
     let all = golden::all();
-    let first = |format: usize| all[format - 4].of("command").next().expect("a command");
+    let first = |format: usize| {
+        all[format - 4]
+            .entries("command")
+            .next()
+            .expect("a command")
+    };
     let mut machine = ClusterMachine::default();
     for (index, (format, in_force)) in [(5, 5), (8, 8), (5, 8)].into_iter().enumerate() {
         let command = first(format);
@@ -132,7 +137,7 @@
 #[test]
 fn state_that_is_cut_off_in_the_middle_is_refused() {
     for golden in golden::all() {
-        let snapshot = golden.of("snapshot").next().expect("a snapshot");
+        let snapshot = golden.entries("snapshot").next().expect("a snapshot");
         for length in 0..snapshot.len() {
             let restored = ClusterMachine::default().restore(&snapshot[..length]);
             assert!(
--- a/crates/pinerill-forward/src/cluster/client.rs
+++ b/crates/pinerill-forward/src/cluster/client.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use parking_lot::Mutex;
-use pinerill_calls::formats::{decode_response, directory_place, encode_placed_watch};
+use pinerill_calls::formats::{decode_response, directory_position, encode_positioned_watch};
 use pinerill_calls::message::{CallsRequest, CallsResponse, ControlAddress, Format};
-use pinerill_calls::session::{encode_for, unreadable, FormattedAnswer, PeerFormats};
+use pinerill_calls::session::{encode_for, unreadable_answer, FormattedAnswer, PeerFormats};
 use pinerill_process::clock::BootTime;
 use pinerill_wire::api::{CallError, CallErrorKind};
 use pinerill_wire::connection::{Connection, Identity, LinkCounters};
@@ -261,10 +261,11 @@
         let encode = |format| self.encode(format, request, address);
         let send = |request| connection.call(request, time);
         let (format, bytes) = self.formats.exchange(address, encode, send).await?;
-        let response = decode_response(&bytes).map_err(|error| unreadable(address, error))?;
+        let response =
+            decode_response(&bytes).map_err(|error| unreadable_answer(address, error))?;
         let response = match response {
             CallsResponse::Watch(watch) if format != Format::NEWEST => {
-                let place = directory_place(&bytes).filter(|_| format < Format::DIGESTS);
+                let place = directory_position(&bytes).filter(|_| format < Format::DIGESTS);
                 let watch = self.older_leader.lock().take_in(format, place, *watch);
                 CallsResponse::Watch(Box::new(watch))
             }
@@ -289,7 +290,7 @@
         }
         let (watch, place) = self.older_leader.lock().asked(format, watch.clone());
         match format < Format::DIGESTS {
-            true => Ok(encode_placed_watch(watch, place)),
+            true => Ok(encode_positioned_watch(watch, place)),
             false => encode_for(CallsRequest::Watch(watch), format, address),
         }
     }
--- a/crates/pinerill-forward/src/cluster/older_leader.rs
+++ b/crates/pinerill-forward/src/cluster/older_leader.rs
@@ -93,11 +93,11 @@
             DirectoryChange::Whole(workers) => Directory::new(workers),
             change => {
                 let held = held.as_ref().map(|one| &one.directory);
-                Directory::changed(held, change)?
+                Directory::apply_change(held, change)?
             }
         };
         let by_digest = format >= Format::DIGESTS;
-        if by_digest && directory.digest_as(format) != named {
+        if by_digest && directory.digest_in_format(format) != named {
             return Err(DirectoryMismatch);
         }
         let told = DirectoryUpdate {
--- a/crates/pinerill-forward/src/cluster/watch.rs
+++ b/crates/pinerill-forward/src/cluster/watch.rs
@@ -214,7 +214,7 @@
             return None;
         }
     };
-    match Directory::updated(held.as_ref(), update) {
+    match Directory::apply_update(held.as_ref(), update) {
         Ok(directory) => {
             if !passed_over {
                 take_workers(node, directory.workers());
@@ -276,9 +276,9 @@
     let Some(cell) = *node.beliefs.cell.lock() else {
         return workers;
     };
-    let partition = Partition::default().next(&workers);
+    let partition = Partition::default().repartition(&workers);
     let mut workers = workers;
-    workers.retain(|worker| partition.is_in(cell.index, worker));
+    workers.retain(|worker| partition.cell_contains(cell.index, worker));
     workers
 }
 
@@ -399,7 +399,7 @@
         }
         let body = response.bytes().await.context("read a page")?;
         let page = list.read_page(&body)?;
-        token = reading.take(page)?;
+        token = reading.add_page(page)?;
         if token.is_none() {
             return Ok(reading);
         }
--- a/crates/pinerill-forward/src/exchange/lives.rs
+++ b/crates/pinerill-forward/src/exchange/lives.rs
@@ -42,7 +42,8 @@
                 return false;
             };
             let newest = listed.get(worker.name());
-            let is_earlier = newest.is_some_and(|newest| newest.birth_ms() > worker.birth_ms());
+            let is_earlier =
+                newest.is_some_and(|newest| newest.started_at_ms() > worker.started_at_ms());
             if is_earlier {
                 life.cancel();
             }
--- a/crates/pinerill-forward/src/fleet/births.rs
+++ b/crates/pinerill-forward/src/fleet/births.rs
@@ -26,7 +26,7 @@
 impl Births {
     /// Notes a start that is listed; false if a later one was listed before.
     pub(super) fn is_newest(&mut self, now_ms: u64, worker: &WorkerId) -> bool {
-        let birth_ms = worker.birth_ms();
+        let birth_ms = worker.started_at_ms();
         let Some(known) = self.by_name.get_mut(worker.name()) else {
             let newest = Newest {
                 birth_ms,
@@ -46,7 +46,7 @@
     /// Whether a later start of this worker was listed.
     pub(super) fn has_newer(&self, worker: &WorkerId) -> bool {
         let known = self.by_name.get(worker.name());
-        known.is_some_and(|newest| newest.birth_ms > worker.birth_ms())
+        known.is_some_and(|newest| newest.birth_ms > worker.started_at_ms())
     }
 
     /// Forgets what was listed long ago.
--- a/crates/pinerill-forward/tests/leave_notice.rs
+++ b/crates/pinerill-forward/tests/leave_notice.rs
@@ -130,7 +130,7 @@
             Counting::ReadingEnds => self.now_ms,
             _ => reading.began_ms,
         };
-        self.leader.take(counted_ms, reading.shown);
+        self.leader.record_reading(counted_ms, reading.shown);
     }
 
     fn leader_answers(&mut self) {
@@ -155,7 +155,7 @@
             return;
         };
         if let Some(update) = answer.update {
-            self.held = Directory::updated(self.held.as_ref(), update).ok();
+            self.held = Directory::apply_update(self.held.as_ref(), update).ok();
             if let Some(directory) = &self.held {
                 self.fleet.take_directory(self.now_ms, directory.workers());
             }
