--- a/crates/pinerill-cluster/examples/leader_rates.rs
+++ b/crates/pinerill-cluster/examples/leader_rates.rs
@@ -37,7 +37,7 @@
         peer: ([10, 1, (number >> 8) as u8, number as u8], 7020).into(),
         cell: None,
     };
-    let cell = cells.hear(0, &node);
+    let cell = cells.record_node(0, &node);
     let told = cells.neighbours(cell, &zone, node.peer);
     assert!(!told.peers.is_empty());
     cell
@@ -61,18 +61,18 @@
     ] {
         let mut cells = Cells::default();
         let listed = |from: u32| (from..from + workers).map(worker).collect::<Vec<_>>();
-        cells.take_workers(0, listed(0));
+        cells.update_workers(0, listed(0));
         let readings: Vec<_> = (0..READINGS).map(|_| listed(0)).collect();
         let mut readings = readings.into_iter();
         let same = micros(READINGS, |_| {
-            cells.take_workers(1, readings.next().expect("a reading"));
+            cells.update_workers(1, readings.next().expect("a reading"));
         });
         let changed: Vec<_> = (1..=READINGS)
             .map(|step| listed(step * workers / 100))
             .collect();
         let mut changed = changed.into_iter();
         let replaced = micros(READINGS, |_| {
-            cells.take_workers(2, changed.next().expect("a reading"));
+            cells.update_workers(2, changed.next().expect("a reading"));
         });
         micros(nodes, |number| {
             watch(&mut cells, number);
--- a/crates/pinerill-cluster/src/cells.rs
+++ b/crates/pinerill-cluster/src/cells.rs
@@ -122,7 +122,7 @@
 
 impl Cells {
     /// Takes in a whole reading of the list that began at a moment; true if it is news.
-    pub fn take_workers(&mut self, began_ms: u64, workers: Vec<WorkerEntry>) -> bool {
+    pub fn update_workers(&mut self, began_ms: u64, workers: Vec<WorkerEntry>) -> bool {
         self.workers = Some(workers.len());
         self.partition = self.partition.next(&workers);
         let divided = self.partition.divide(&workers);
@@ -143,7 +143,7 @@
     }
 
     /// Whether a start of a worker is listed.
-    pub fn lists(&self, worker: &WorkerId) -> bool {
+    pub fn contains_worker(&self, worker: &WorkerId) -> bool {
         let mut directories = self
             .cells
             .iter()
@@ -162,7 +162,7 @@
     }
 
     /// Nodes in a cell.
-    pub fn nodes_of(&self, cell: CellId) -> usize {
+    pub fn nodes_in_cell(&self, cell: CellId) -> usize {
         self.cell(cell).node_count()
     }
 
@@ -192,7 +192,7 @@
     }
 
     /// Notes that a node was heard; returns its cell.
-    pub fn hear(&mut self, now_ms: u64, node: &WatchingNode<'_>) -> CellId {
+    pub fn record_node(&mut self, now_ms: u64, node: &WatchingNode<'_>) -> CellId {
         let index = match self.places.get(node.name) {
             Some(index) => *index,
             None => self.place(node),
--- a/crates/pinerill-cluster/src/connections.rs
+++ b/crates/pinerill-cluster/src/connections.rs
@@ -32,7 +32,7 @@
 impl KnownMachines {
     /// Addresses to which it keeps connections. `random` are some others, for a machine that
     /// knows no leader: it may know no member either, and tries more of them each time.
-    pub fn wanted(&self, random: &[SocketAddr]) -> BTreeSet<SocketAddr> {
+    pub fn connection_targets(&self, random: &[SocketAddr]) -> BTreeSet<SocketAddr> {
         let mut wanted = match self.known.len() <= FULL_MESH {
             true => self.known.clone(),
             false => self.neighbours(),
--- a/crates/pinerill-cluster/src/leases.rs
+++ b/crates/pinerill-cluster/src/leases.rs
@@ -48,7 +48,7 @@
 
 /// What a node asks for.
 #[derive(Debug, Clone, Copy)]
-pub struct LeaseAsk<'a> {
+pub struct LeaseArgs<'a> {
     /// The node, in this start of its process.
     pub node: &'a str,
     /// Items that it holds.
@@ -92,7 +92,7 @@
         now_ms: u64,
         jobs: &Jobs,
         job_clock_ms: u64,
-        ask: &LeaseAsk<'_>,
+        ask: &LeaseArgs<'_>,
     ) -> LeaseDecision {
         self.lease_where(now_ms, jobs, job_clock_ms, ask, |_| true)
     }
@@ -103,7 +103,7 @@
         now_ms: u64,
         jobs: &Jobs,
         job_clock_ms: u64,
-        ask: &LeaseAsk<'_>,
+        ask: &LeaseArgs<'_>,
         may_run: impl Fn(&JobRecord) -> bool,
     ) -> LeaseDecision {
         let mut ended = Vec::new();
@@ -174,7 +174,7 @@
         now_ms: u64,
         jobs: &Jobs,
         job_clock_ms: u64,
-        ask: &LeaseAsk<'_>,
+        ask: &LeaseArgs<'_>,
         may_run: impl Fn(&JobRecord) -> bool,
     ) -> Vec<QueuePosition> {
         let first_on_time = first_on_time(job_clock_ms, ask.run_ms);
--- a/crates/pinerill-cluster/src/machine/jobs.rs
+++ b/crates/pinerill-cluster/src/machine/jobs.rs
@@ -14,7 +14,7 @@
 
 use super::job::{ItemPhase, ItemRecord, JobRecord, ListedRecord};
 use super::keys::{call_key, text_key};
-use super::room::RoomCount;
+use super::room::StoreUsage;
 
 /// Jobs that one upkeep forgets at most.
 const FORGOTTEN_AT_ONCE: usize = 16;
@@ -38,7 +38,7 @@
     /// It is kept since an earlier submission.
     Known,
     /// It does not fit.
-    Refused(SubmitOutcome),
+    Rejected(SubmitOutcome),
 }
 
 /// All jobs of the group.
@@ -49,7 +49,7 @@
     records: BTreeMap<u64, JobRecord>,
     queue: BTreeSet<QueuePosition>,
     waiting_tokens: BTreeMap<String, u64>,
-    room: RoomCount,
+    room: StoreUsage,
 }
 
 impl Jobs {
@@ -82,7 +82,7 @@
     }
 
     /// What jobs take in the store.
-    pub fn room(&self) -> &RoomCount {
+    pub fn store_usage(&self) -> &StoreUsage {
         &self.room
     }
 
@@ -106,10 +106,10 @@
         let tokens: u64 = job.items.iter().map(|item| item.tokens).sum();
         let waiting = self.waiting_tokens(&job.id, &job.route);
         if job.max_waiting_tokens > 0 && waiting + tokens > job.max_waiting_tokens {
-            return Admission::Refused(SubmitOutcome::OverLimit);
+            return Admission::Rejected(SubmitOutcome::OverLimit);
         }
         if room_bytes.is_some_and(|limit| !self.has_room(job, limit)) {
-            return Admission::Refused(SubmitOutcome::NoRoom);
+            return Admission::Rejected(SubmitOutcome::NoRoom);
         }
         Admission::New
     }
@@ -125,7 +125,7 @@
         match self.admit(&job, room_bytes) {
             Admission::New => {}
             Admission::Known => return SubmitOutcome::Accepted,
-            Admission::Refused(outcome) => return outcome,
+            Admission::Rejected(outcome) => return outcome,
         }
         let tokens: u64 = job.items.iter().map(|item| item.tokens).sum();
         let number = self.next_number;
--- a/crates/pinerill-cluster/src/machine/mod.rs
+++ b/crates/pinerill-cluster/src/machine/mod.rs
@@ -31,7 +31,7 @@
 pub use job::{ItemPhase, ItemRecord, JobRecord, ListedRecord};
 pub use jobs::{Admission, Jobs, QueuePosition};
 pub use keys::{call_key, text_key};
-pub use room::RoomCount;
+pub use room::StoreUsage;
 
 /// Longest step of the group's clock between two commands, milliseconds: a
 /// leader that was frozen does not make everything late at once.
--- a/crates/pinerill-cluster/src/machine/room.rs
+++ b/crates/pinerill-cluster/src/machine/room.rs
@@ -24,7 +24,7 @@
 
 /// What jobs take in the store.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RoomCount {
+pub struct StoreUsage {
     /// Bytes of pages of all calls and texts, and of records.
     stored_bytes: u64,
     /// Texts that were ever stored.
@@ -33,7 +33,7 @@
     text_bytes: u64,
 }
 
-impl RoomCount {
+impl StoreUsage {
     /// Bytes of pages of all calls, texts and records.
     pub fn stored_bytes(&self) -> u64 {
         self.stored_bytes
--- a/crates/pinerill-cluster/src/membership.rs
+++ b/crates/pinerill-cluster/src/membership.rs
@@ -40,9 +40,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MembershipSettings {
     /// Voters that the group needs.
-    pub least_voters: usize,
+    pub min_voters: usize,
     /// Voters that it has where there are as many machines.
-    pub most_voters: usize,
+    pub max_voters: usize,
     /// Silence after which a voter is replaced if another machine is there,
     /// milliseconds.
     pub lost_after_ms: u64,
@@ -68,7 +68,7 @@
     if let Some(change) = join(view, &wanted).or_else(|| promote(view, &wanted)) {
         return Some(MembershipStep::Change(change));
     }
-    let complete = wanted.len() >= view.settings.least_voters.min(view.members.voters.len())
+    let complete = wanted.len() >= view.settings.min_voters.min(view.members.voters.len())
         && wanted.iter().all(|replica| view.members.is_voter(*replica));
     if let Some(learner) = view
         .members
@@ -95,8 +95,8 @@
 
 /// Whether a machine holds nothing that is needed: it is no member, and the
 /// group is complete without it.
-pub fn is_emptied(view: &MembershipView<'_>, replica: ReplicaId) -> bool {
-    let others_wanted = view.settings.least_voters;
+pub fn is_drained(view: &MembershipView<'_>, replica: ReplicaId) -> bool {
+    let others_wanted = view.settings.min_voters;
     view.settled
         && !view.members.contains(replica)
         && view.members.voters.len() >= others_wanted
@@ -114,7 +114,7 @@
         .keys()
         .filter(|one| **one != replica.0 && !view.retiring.contains(one));
     let present = staying.filter(|one| view.is_present(**one)).count();
-    present >= view.settings.least_voters
+    present >= view.settings.min_voters
 }
 
 impl MembershipView<'_> {
@@ -123,15 +123,15 @@
     /// for good.
     fn target_voters(&self) -> usize {
         let MembershipSettings {
-            least_voters,
-            most_voters,
+            min_voters,
+            max_voters,
             ..
         } = self.settings;
         let available = self.machines.keys().copied();
         let available = available.filter(|one| self.may_vote(*one) && !self.is_lost(*one));
-        let possible = available.count().min(most_voters);
+        let possible = available.count().min(max_voters);
         let odd = possible - usize::from(possible.is_multiple_of(2) && possible > 0);
-        odd.max(least_voters)
+        odd.max(min_voters)
     }
 
     fn is_present(&self, replica: u64) -> bool {
@@ -175,7 +175,7 @@
         };
         wanted.push(next);
     }
-    let missing = view.settings.least_voters.saturating_sub(wanted.len());
+    let missing = view.settings.min_voters.saturating_sub(wanted.len());
     wanted.extend(lost.into_iter().take(missing));
     wanted.truncate(target.max(1));
     wanted
--- a/crates/pinerill-cluster/src/server/control.rs
+++ b/crates/pinerill-cluster/src/server/control.rs
@@ -25,7 +25,7 @@
 use super::older_builds::OlderDigests;
 use super::refusal;
 use crate::machine::{Applied, ClusterMachine, Command, StampedCommand};
-use crate::turns::Turns;
+use crate::turns::RequestLimiter;
 use pinerill_calls::settings::ControlSettings;
 
 /// A control machine.
@@ -63,7 +63,7 @@
     /// here is worked off for each node.
     pub(super) watch_news: watch::Sender<u64>,
     /// Turns of requests that all nodes make.
-    pub(super) turns: Turns,
+    pub(super) turns: RequestLimiter,
     /// Items wait that no node has; wakes one node that wants some for each of them.
     pub(super) items_wait: Notify,
     pub(super) started: BootTime,
--- a/crates/pinerill-cluster/src/server/jobs.rs
+++ b/crates/pinerill-cluster/src/server/jobs.rs
@@ -17,7 +17,7 @@
 use super::control::Control;
 use super::older_builds::without_counted_limit;
 use super::refusal;
-use crate::leases::{LeaseAsk, LeaseDecision};
+use crate::leases::{LeaseArgs, LeaseDecision};
 use crate::machine::{
     call_key, text_key, Admission, Applied, Command, ItemPhase, JobRecord, ListedRecord,
     QueuePosition,
@@ -73,7 +73,7 @@
             }
             Admission::New => {}
             Admission::Known => return Ok(CallsResponse::SubmitJob(SubmitOutcome::Accepted)),
-            Admission::Refused(outcome) => {
+            Admission::Rejected(outcome) => {
                 log::info!(event = "job_submitted", job:% = id, items, outcome:? = outcome; "");
                 return Ok(CallsResponse::SubmitJob(outcome));
             }
@@ -289,13 +289,13 @@
     }
 
     async fn decide_in_turn(&self, request: &LeaseRequest) -> Result<LeaseDecision, Box<Refusal>> {
-        let _turn = self.turns.take().await;
+        let _turn = self.turns.acquire().await;
         self.decide_leases(request)
     }
 
     fn decide_leases(&self, request: &LeaseRequest) -> Result<LeaseDecision, Box<Refusal>> {
         let now_ms = self.now_ms();
-        let ask = LeaseAsk {
+        let ask = LeaseArgs {
             node: &request.node,
             held: &request.held,
             want: request.want as usize,
@@ -343,8 +343,8 @@
     pub(super) fn job_bytes(&self) -> (u64, u64) {
         self.group.with_machine(|machine| {
             let jobs = machine.jobs();
-            let expected = jobs.room().expected_bytes(jobs.queue().len());
-            (jobs.room().stored_bytes(), expected)
+            let expected = jobs.store_usage().expected_bytes(jobs.queue().len());
+            (jobs.store_usage().stored_bytes(), expected)
         })
     }
 
--- a/crates/pinerill-cluster/src/server/members.rs
+++ b/crates/pinerill-cluster/src/server/members.rs
@@ -12,7 +12,7 @@
 use super::control::Control;
 use crate::machine::{ClusterMachine, Command};
 use crate::membership::{
-    is_emptied, may_retire, next_step, MembershipSettings, MembershipStep, MembershipView,
+    is_drained, may_retire, next_step, MembershipSettings, MembershipStep, MembershipView,
 };
 
 /// Pause between two looks at the membership.
@@ -84,8 +84,8 @@
                 leading_ms,
                 caught_up: &caught_up,
                 settings: MembershipSettings {
-                    least_voters: self.settings.least_voters(),
-                    most_voters: self.settings.most_voters(),
+                    min_voters: self.settings.least_voters(),
+                    max_voters: self.settings.most_voters(),
                     lost_after_ms: LOST_AFTER_MS,
                     present_ms: PRESENT_MS,
                 },
@@ -124,7 +124,7 @@
         let retiring = self
             .group
             .with_machine(|machine| machine.retiring().contains(&replica));
-        let emptied = self.with_view(step, |view| is_emptied(view, ReplicaId(replica)))?;
+        let emptied = self.with_view(step, |view| is_drained(view, ReplicaId(replica)))?;
         let state = match retiring && emptied {
             true => RetirementState::Completed,
             false => RetirementState::Serving,
--- a/crates/pinerill-cluster/src/server/peers.rs
+++ b/crates/pinerill-cluster/src/server/peers.rs
@@ -147,7 +147,7 @@
             members: self.member_addresses(),
             leader: self.leader_address(),
         };
-        let mut wanted = machines.wanted(&random);
+        let mut wanted = machines.connection_targets(&random);
         let kept = self.pool.addresses();
         if machines.leader.is_none() {
             // More and more of them, until a leader is found.
--- a/crates/pinerill-cluster/src/server/run.rs
+++ b/crates/pinerill-cluster/src/server/run.rs
@@ -31,7 +31,7 @@
 use super::operators;
 use super::service::ControlService;
 use crate::machine::ClusterMachine;
-use crate::turns::Turns;
+use crate::turns::RequestLimiter;
 
 /// The one replicated group.
 const GROUP: GroupId = GroupId(0);
@@ -217,7 +217,7 @@
         traffic: Traffic::default(),
         news: watch::Sender::new(0),
         watch_news: watch::Sender::new(0),
-        turns: Turns::default(),
+        turns: RequestLimiter::default(),
         items_wait: Notify::new(),
         started: BootTime::now(),
         stopping,
--- a/crates/pinerill-cluster/src/server/watch.rs
+++ b/crates/pinerill-cluster/src/server/watch.rs
@@ -60,7 +60,7 @@
         request: &WatchRequest,
         arrived_ms: u64,
     ) -> Result<WatchResponse, Box<Refusal>> {
-        let _turn = self.turns.take().await;
+        let _turn = self.turns.acquire().await;
         self.news_for(request, arrived_ms)
     }
 
@@ -78,14 +78,14 @@
         };
         let told = self.with_leadership("watch", |leadership| {
             let cells = &mut leadership.cells;
-            let cell = cells.hear(now_ms, &asker);
+            let cell = cells.record_node(now_ms, &asker);
             Told {
                 cell,
                 directory: cells.update(cell, request.directory),
                 directory_age_ms: cells.directory(cell).age_ms(arrived_ms),
                 neighbours: cells.neighbours(cell, &request.zone, request.peer),
                 nodes: cells.node_count() as u32,
-                cell_nodes: cells.nodes_of(cell) as u32,
+                cell_nodes: cells.nodes_in_cell(cell) as u32,
                 controls: leadership.controls_told(now_ms),
             }
         })?;
--- a/crates/pinerill-cluster/src/server/workers.rs
+++ b/crates/pinerill-cluster/src/server/workers.rs
@@ -77,9 +77,10 @@
         let count = workers.len();
         let changed = self.with_leadership("take workers", |leadership| {
             let cells = &mut leadership.cells;
-            let is_news = cells.take_workers(began_ms, workers);
+            let is_news = cells.update_workers(began_ms, workers);
             if is_news {
-                let is_listed = |name: &str| cells.lists(&WorkerId::from(name.to_owned()));
+                let is_listed =
+                    |name: &str| cells.contains_worker(&WorkerId::from(name.to_owned()));
                 leadership.slow_starts.keep_only(is_listed);
             }
             is_news
--- a/crates/pinerill-cluster/src/turns.rs
+++ b/crates/pinerill-cluster/src/turns.rs
@@ -3,27 +3,27 @@
 //! All nodes ask at once when there is news, or after an election. On one thread their requests
 //! would be worked off in a row, and heartbeats be late behind them: a leader that tells a
 //! thousand nodes of a change would be deposed for it. Invariant: between two turns of any
-//! other task, at most [`AT_ONCE`] requests are worked on, however many wait.
+//! other task, at most [`MAX_REQUESTS_PER_TURN`] requests are worked on, however many wait.
 
 use tokio::sync::{Semaphore, SemaphorePermit};
 use tokio::task::yield_now;
 
 /// Requests that are worked on between two turns of other tasks: some hundred microseconds each
 /// on a small machine, a small part of the time between two heartbeats.
-pub const AT_ONCE: usize = 8;
+pub const MAX_REQUESTS_PER_TURN: usize = 8;
 
 /// Turns of requests, in the order in which they come.
-pub struct Turns(Semaphore);
+pub struct RequestLimiter(Semaphore);
 
-impl Default for Turns {
+impl Default for RequestLimiter {
     fn default() -> Self {
-        Turns(Semaphore::new(AT_ONCE))
+        RequestLimiter(Semaphore::new(MAX_REQUESTS_PER_TURN))
     }
 }
 
-impl Turns {
+impl RequestLimiter {
     /// Waits for a turn; it lasts until it is dropped, within which nothing may be awaited.
-    pub async fn take(&self) -> Option<SemaphorePermit<'_>> {
+    pub async fn acquire(&self) -> Option<SemaphorePermit<'_>> {
         // The semaphore is never closed.
         let turn = self.0.acquire().await.ok();
         // Whatever else is ready goes first.
--- a/crates/pinerill-cluster/tests/cells.rs
+++ b/crates/pinerill-cluster/tests/cells.rs
@@ -44,13 +44,13 @@
         peer: address(number),
         cell,
     };
-    cells.hear(now_ms, &node)
+    cells.record_node(now_ms, &node)
 }
 
 /// A fleet that has just started, and the cell of each node.
 fn started(nodes: u32, workers: u32) -> (Cells, Vec<CellId>) {
     let mut cells = Cells::default();
-    cells.take_workers(0, (0..workers).map(worker).collect());
+    cells.update_workers(0, (0..workers).map(worker).collect());
     let placed = (0..nodes).map(|number| hear(&mut cells, 0, number, None));
     let placed = placed.collect();
     (cells, placed)
@@ -72,7 +72,7 @@
         .map(|cell| cells.directory(*cell).present().map(|held| held.digest()))
         .collect();
     let moved = workers / 100;
-    cells.take_workers(1_000, (moved..workers + moved).map(worker).collect());
+    cells.update_workers(1_000, (moved..workers + moved).map(worker).collect());
     let updates = placed.iter().zip(held);
     let updates = updates.filter_map(|(cell, held)| cells.update(*cell, held));
     let sizes: Vec<usize> = updates
@@ -132,7 +132,7 @@
             .map(|held| held.digest())
     };
     let old = digest(&cells);
-    cells.take_workers(1_000, (1..101).map(worker).collect());
+    cells.update_workers(1_000, (1..101).map(worker).collect());
     assert_eq!(cells.update(placed[0], digest(&cells)), None);
     let whole = cells.update(placed[0], None).expect("an update");
     let workers = match whole.unpack().expect("a whole").change {
@@ -142,7 +142,7 @@
     assert_eq!(workers.len(), 100);
     // Directories that are forgotten are as good as none.
     for step in 2..12 {
-        cells.take_workers(
+        cells.update_workers(
             step * 1_000,
             (step as u32..100 + step as u32).map(worker).collect(),
         );
@@ -178,7 +178,7 @@
     for (number, cell) in placed.iter().enumerate() {
         hear(&mut next, 0, number as u32, Some(*cell));
     }
-    next.take_workers(100, (0..WORKERS).map(worker).collect());
+    next.update_workers(100, (0..WORKERS).map(worker).collect());
     for (number, cell) in placed.iter().enumerate() {
         assert_eq!(hear(&mut next, 200, number as u32, Some(*cell)), *cell);
     }
--- a/crates/pinerill-cluster/tests/connections.rs
+++ b/crates/pinerill-cluster/tests/connections.rs
@@ -26,7 +26,7 @@
 fn few_machines_are_connected_each_to_each() {
     for machines in [2, 5, FULL_MESH as u32] {
         for own in 0..machines {
-            let wanted = machine(own, machines).wanted(&[]);
+            let wanted = machine(own, machines).connection_targets(&[]);
             let others: BTreeSet<SocketAddr> = (0..machines.max(MEMBERS))
                 .filter(|other| *other != own)
                 .map(address)
@@ -39,7 +39,7 @@
 #[test]
 fn a_machine_keeps_no_more_connections_in_a_fleet_twice_as_large() {
     let most = |machines| {
-        let counts = (0..machines).map(|own| machine(own, machines).wanted(&[]).len());
+        let counts = (0..machines).map(|own| machine(own, machines).connection_targets(&[]).len());
         counts.max().unwrap_or(0)
     };
     assert_eq!(most(150), most(300));
@@ -51,7 +51,7 @@
 fn a_machine_that_is_no_member_is_kept_connected_to_by_few() {
     let mut kept = vec![0; 150];
     for own in 0..150 {
-        let wanted = machine(own, 150).wanted(&[]);
+        let wanted = machine(own, 150).connection_targets(&[]);
         for (number, count) in kept.iter_mut().enumerate() {
             *count += usize::from(wanted.contains(&address(number as u32)));
         }
@@ -64,7 +64,7 @@
 #[test]
 fn members_are_connected_each_to_each_whatever_their_number() {
     for own in 0..MEMBERS {
-        let wanted = machine(own, 150).wanted(&[]);
+        let wanted = machine(own, 150).connection_targets(&[]);
         for other in (0..MEMBERS).filter(|other| *other != own) {
             assert!(wanted.contains(&address(other)));
         }
@@ -79,9 +79,9 @@
     lost.members = Vec::new();
     lost.seeds = vec![address(50)];
     let random = [address(4), address(70)];
-    let wanted = lost.wanted(&random);
+    let wanted = lost.connection_targets(&random);
     assert!(random.iter().all(|one| wanted.contains(one)));
     lost.leader = Some(address(4));
-    let wanted = lost.wanted(&random);
+    let wanted = lost.connection_targets(&random);
     assert!(wanted.contains(&address(4)) && wanted.len() <= 8);
 }
--- a/crates/pinerill-cluster/tests/leases.rs
+++ b/crates/pinerill-cluster/tests/leases.rs
@@ -2,7 +2,7 @@
 
 use pinerill_calls::job::{CallJobId, ItemRef, NewCallItem, NewCallJob};
 use pinerill_calls::message::encode;
-use pinerill_cluster::leases::{LeaseAsk, LeaseBook, LeaseSettings};
+use pinerill_cluster::leases::{LeaseArgs, LeaseBook, LeaseSettings};
 use pinerill_cluster::machine::{ClusterMachine, Command, QueuePosition, StampedCommand};
 use pinerill_control::host::{StateMachine, TableWriter};
 
@@ -77,7 +77,7 @@
 
     fn lease(&mut self, now: u64, node: &str, held: &[ItemRef], want: usize) -> (Vec<u32>, usize) {
         let clock = self.machine.clock_ms();
-        let ask = LeaseAsk {
+        let ask = LeaseArgs {
             node,
             held,
             want,
@@ -156,7 +156,7 @@
     let retention_ms = 600_000;
     apply(&mut machine, 2_000, Command::Upkeep { retention_ms });
     let mut book = LeaseBook::new(SETTINGS, 0);
-    let ask = LeaseAsk {
+    let ask = LeaseArgs {
         node: "x",
         held: &[],
         want: targets_ms.len(),
@@ -188,7 +188,7 @@
     let mut leader = Leader::with_job(2);
     submit(&mut leader.machine, "b", 2, 30_000);
     let clock = leader.machine.clock_ms();
-    let ask = LeaseAsk {
+    let ask = LeaseArgs {
         node: "away",
         held: &[],
         want: 4,
--- a/crates/pinerill-cluster/tests/machine.rs
+++ b/crates/pinerill-cluster/tests/machine.rs
@@ -143,11 +143,11 @@
     let room = Some(60_000);
     let accepted = Applied::Submitted(SubmitOutcome::Accepted);
     assert_eq!(group.submit_into("a", 5, room), accepted);
-    let taken = group.machine.jobs().room().clone();
+    let taken = group.machine.jobs().store_usage().clone();
     let refused = Applied::Submitted(SubmitOutcome::NoRoom);
     assert_eq!(group.submit_into("b", 5, room), refused);
     assert!(group.machine.jobs().find(&job_id("b")).is_none());
-    assert_eq!(group.machine.jobs().room(), &taken);
+    assert_eq!(group.machine.jobs().store_usage(), &taken);
     assert_eq!(group.table.0.len(), 5);
     assert_eq!(group.submit_into("a", 5, room), accepted);
 }
@@ -158,7 +158,7 @@
     group.submit("a", 4);
     let expected = |group: &Group| {
         let jobs = group.machine.jobs();
-        jobs.room().expected_bytes(jobs.queue().len())
+        jobs.store_usage().expected_bytes(jobs.queue().len())
     };
     let before = expected(&group);
     group.report("a", 0, completed(&[7; 100]));
@@ -175,10 +175,10 @@
     group.report("a", 1, ItemEnd::Impossible);
     group.submit("b", 2);
     group.apply(Command::EndJob(job_id("b")));
-    assert!(group.machine.jobs().room().stored_bytes() > 5_000);
+    assert!(group.machine.jobs().store_usage().stored_bytes() > 5_000);
     group.pass(GIVE_UP_MS + 200_000);
     assert!(group.machine.jobs().is_empty());
-    assert_eq!(group.machine.jobs().room().stored_bytes(), 0);
+    assert_eq!(group.machine.jobs().store_usage().stored_bytes(), 0);
 }
 
 #[test]
--- a/crates/pinerill-cluster/tests/membership.rs
+++ b/crates/pinerill-cluster/tests/membership.rs
@@ -4,14 +4,14 @@
 
 use pinerill_calls::message::MachineRecord;
 use pinerill_cluster::membership::{
-    is_emptied, may_retire, next_step, MembershipSettings, MembershipStep, MembershipView,
+    is_drained, may_retire, next_step, MembershipSettings, MembershipStep, MembershipView,
 };
 use pinerill_replica::{Membership, MembershipChange, ReplicaId};
 use proptest::prelude::*;
 
 const SETTINGS: MembershipSettings = MembershipSettings {
-    least_voters: 3,
-    most_voters: 3,
+    min_voters: 3,
+    max_voters: 3,
     lost_after_ms: 6_000,
     present_ms: 1_500,
 };
@@ -116,7 +116,7 @@
 fn a_group_has_voters_for_losses_during_a_replacement_where_there_are_machines() {
     let voters_among = |machines: u64| {
         let mut world = World::new(machines);
-        world.settings.most_voters = 5;
+        world.settings.max_voters = 5;
         world.settle();
         world.voters().len()
     };
@@ -129,12 +129,12 @@
 #[test]
 fn a_group_shrinks_to_what_it_needs_as_machines_retire() {
     let mut world = World::new(5);
-    world.settings.most_voters = 5;
+    world.settings.max_voters = 5;
     world.settle();
     world.retiring.insert(2);
     world.settle();
     assert_eq!(world.voters().len(), 3);
-    assert!(world.look(|view| is_emptied(view, ReplicaId(2))));
+    assert!(world.look(|view| is_drained(view, ReplicaId(2))));
     assert!(world.look(|view| may_retire(view, ReplicaId(3))));
 }
 
@@ -154,7 +154,7 @@
 #[test]
 fn machines_that_are_gone_do_not_make_a_group_larger() {
     let mut world = World::new(5);
-    world.settings.most_voters = 5;
+    world.settings.max_voters = 5;
     world.silent_ms.insert(2, 60_000);
     world.silent_ms.insert(3, 60_000);
     world.settle();
@@ -172,10 +172,10 @@
 fn a_retired_machine_leaves_once_another_votes_in_its_place() {
     let mut world = World::new(4);
     world.retiring.insert(2);
-    assert!(!world.look(|view| is_emptied(view, ReplicaId(2))));
+    assert!(!world.look(|view| is_drained(view, ReplicaId(2))));
     world.settle();
     assert_eq!(world.voters(), [1, 3, 4]);
-    assert!(world.look(|view| is_emptied(view, ReplicaId(2))));
+    assert!(world.look(|view| is_drained(view, ReplicaId(2))));
 }
 
 #[test]
@@ -211,7 +211,7 @@
         most_voters in 3usize..8,
     ) {
         let mut world = World::new(machines);
-        world.settings.most_voters = most_voters;
+        world.settings.max_voters = most_voters;
         for replica in lost.iter().filter(|one| **one <= machines) {
             world.silent_ms.insert(*replica, 60_000);
         }
@@ -222,11 +222,11 @@
         }
         let before = world.members.voters.len();
         world.settle();
-        prop_assert!(world.members.voters.len() >= before.min(SETTINGS.least_voters));
+        prop_assert!(world.members.voters.len() >= before.min(SETTINGS.min_voters));
         let present = world.machines.keys().filter(|one| {
             world.silent_ms.get(one).is_some_and(|ms| *ms <= SETTINGS.present_ms)
         });
-        if present.count() >= SETTINGS.least_voters {
+        if present.count() >= SETTINGS.min_voters {
             for replica in replaced.iter().chain(&lost) {
                 prop_assert!(!world.voters().contains(replica));
             }
--- a/crates/pinerill-cluster/tests/turns.rs
+++ b/crates/pinerill-cluster/tests/turns.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-use pinerill_cluster::turns::{Turns, AT_ONCE};
+use pinerill_cluster::turns::{RequestLimiter, MAX_REQUESTS_PER_TURN};
 use tokio::runtime::Builder;
 use tokio::sync::watch;
 use tokio::task::yield_now;
@@ -14,14 +14,14 @@
     let runtime = Builder::new_current_thread().build().expect("a runtime");
     let worked = Arc::new(AtomicUsize::new(0));
     let (news, heard) = watch::channel(false);
-    let turns = Arc::new(Turns::default());
+    let turns = Arc::new(RequestLimiter::default());
     runtime.block_on(async {
         for _ in 0..requests {
             let (turns, worked, mut heard) = (turns.clone(), worked.clone(), heard.clone());
             tokio::spawn(async move {
                 heard.changed().await.expect("news");
                 let _turn = match in_turn {
-                    true => turns.take().await,
+                    true => turns.acquire().await,
                     false => None,
                 };
                 worked.fetch_add(1, Ordering::Relaxed);
@@ -48,7 +48,7 @@
 fn whatever_the_size_of_the_fleet_few_requests_go_before_another_task() {
     for requests in [100, 1_000, 2_000, 4_000] {
         let most = most_between_two_turns(requests, true);
-        assert!(most <= 2 * AT_ONCE, "{most} of {requests}");
+        assert!(most <= 2 * MAX_REQUESTS_PER_TURN, "{most} of {requests}");
     }
 }
 
