--- a/crates/pinerill-forward/src/batch/item.rs
+++ b/crates/pinerill-forward/src/batch/item.rs
@@ -18,7 +18,7 @@
 use super::running::{begin, Running};
 use super::runs::Run;
 use crate::crash::Run as WorkerRun;
-use crate::exchange::{BreakReason, EventScanner, Exchange, Sent};
+use crate::exchange::{BreakReason, EventScanner, Exchange, StartedAnswer};
 use crate::fleet::Wanted;
 use crate::node::{Node, Occupied};
 
@@ -231,7 +231,7 @@
 
 /// A run whose answer has begun.
 struct Begun {
-    sent: Sent,
+    sent: StartedAnswer,
     place: Occupied,
     run: WorkerRun,
 }
@@ -329,8 +329,8 @@
             }
         }
     }
-    if scanner.has_part() {
-        return Err(BreakReason::Cut);
+    if scanner.has_partial_event() {
+        return Err(BreakReason::Truncated);
     }
     place.succeeded();
     exchange.finish(node.connections());
@@ -367,7 +367,7 @@
 }
 
 /// Keeps the connection if the answer can be read to its end.
-async fn drain(node: &Node, sent: Sent) {
+async fn drain(node: &Node, sent: StartedAnswer) {
     let reading = sent
         .exchange
         .read_whole(node.connections(), SHORT_ANSWER_LIMIT);
--- a/crates/pinerill-forward/src/call/attempt.rs
+++ b/crates/pinerill-forward/src/call/attempt.rs
@@ -12,7 +12,7 @@
 use super::{Call, CallRecord};
 use crate::crash::Run;
 use crate::dispatch::{Placed, Unplaced};
-use crate::exchange::{BreakReason, Exchange, SendFailure, Sent};
+use crate::exchange::{BreakReason, Exchange, SendFailure, StartedAnswer};
 use crate::node::{Node, Occupied};
 
 /// Pause before workers are looked for once more when there is none.
@@ -30,7 +30,7 @@
 /// An attempt whose answer has begun.
 pub struct Attempted {
     /// The answer.
-    pub sent: Sent,
+    pub sent: StartedAnswer,
     /// The place at the worker; free again when dropped.
     pub place: Occupied,
     /// The run, which is to be told its end.
@@ -174,7 +174,7 @@
         AttemptEnd::NotRun
     }
 
-    async fn refused(&self, node: &Node, worker: &str, reason: NotRunReason, sent: Sent) {
+    async fn refused(&self, node: &Node, worker: &str, reason: NotRunReason, sent: StartedAnswer) {
         match reason {
             NotRunReason::Full => node.worker_full(worker),
             NotRunReason::OtherWorker => node.worker_replaced(worker),
--- a/crates/pinerill-forward/src/call/decision.rs
+++ b/crates/pinerill-forward/src/call/decision.rs
@@ -8,7 +8,7 @@
 
 /// When a caller shall come back after a refusal for want of room, if nothing better
 /// is known.
-pub const RETRY_AFTER: Duration = Duration::from_millis(150);
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(150);
 
 /// How an attempt ended without an answer for the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -99,7 +99,7 @@
         }
         Refusal::NotRun {
             reason: "no worker took it",
-            retry_after: Some(RETRY_AFTER),
+            retry_after: Some(DEFAULT_RETRY_AFTER),
         }
     }
 
--- a/crates/pinerill-forward/src/call/relay.rs
+++ b/crates/pinerill-forward/src/call/relay.rs
@@ -114,8 +114,8 @@
         loop {
             let piece = timeout_at(limit, running.exchange.next_piece()).await;
             let Some(piece) = piece.unwrap_or(Err(BreakReason::Silent))? else {
-                return match self.scanner.has_part() {
-                    true => Err(BreakReason::Cut),
+                return match self.scanner.has_partial_event() {
+                    true => Err(BreakReason::Truncated),
                     false => Ok(None),
                 };
             };
--- a/crates/pinerill-forward/src/call/request.rs
+++ b/crates/pinerill-forward/src/call/request.rs
@@ -74,7 +74,7 @@
     }
 
     /// When its first event must have reached the caller, who gives it up then.
-    pub fn first_event_by(&self) -> BootTime {
+    pub fn first_event_deadline(&self) -> BootTime {
         let patience = self.route.caller_patience_ms.map(Duration::from_millis);
         let given_up = patience.map(|patience| self.arrived + patience);
         given_up.map_or(self.deadline, |at| at.min(self.deadline))
--- a/crates/pinerill-forward/src/cluster/watch.rs
+++ b/crates/pinerill-forward/src/cluster/watch.rs
@@ -302,7 +302,7 @@
 /// Acts on workers that are gone, and says what was taken in.
 fn note_workers(node: &Node, workers: &[WorkerEntry], gone: &[GoneWorker], source: &str) {
     node.slow_starts.wanted();
-    node.connections().end_earlier_starts(workers);
+    node.connections().cancel_superseded_exchanges(workers);
     for worker in gone {
         node.connections().forget(&worker.entry.id);
         let evidence = match worker.is_restarted {
--- a/crates/pinerill-forward/src/crash/desk.rs
+++ b/crates/pinerill-forward/src/crash/desk.rs
@@ -47,7 +47,7 @@
     ) {
         let start = WorkerStart::of(worker);
         // A silent worker would not answer a connection either; the list tells.
-        if reason.is_silence() || !self.crashes.probed.lock().insert(start) {
+        if reason.is_unresponsive() || !self.crashes.probed.lock().insert(start) {
             return;
         }
         let (node, worker) = (self.clone(), worker.clone());
--- a/crates/pinerill-forward/src/dispatch/admission.rs
+++ b/crates/pinerill-forward/src/dispatch/admission.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::call::decision::RETRY_AFTER;
+use crate::call::decision::DEFAULT_RETRY_AFTER;
 
 /// Starts from which the pace is read.
 const REMEMBERED_STARTS: usize = 12;
@@ -97,5 +97,5 @@
 pub fn retry_after(expected: Duration, draw: f64) -> Duration {
     let (shortest, longest) = RETRY_PARTS;
     let part = shortest + (longest - shortest) * draw;
-    expected.mul_f64(part).max(RETRY_AFTER)
+    expected.mul_f64(part).max(DEFAULT_RETRY_AFTER)
 }
--- a/crates/pinerill-forward/src/dispatch/times.rs
+++ b/crates/pinerill-forward/src/dispatch/times.rs
@@ -62,7 +62,7 @@
             Duration::from_secs_f64(least_ms.unwrap_or(0.0) / 1_000.0)
         };
         let for_first = call
-            .first_event_by()
+            .first_event_deadline()
             .checked_sub(least(|times| &times.first_event));
         let for_last = call.deadline.checked_sub(least(|times| &times.whole));
         let for_first = for_first.unwrap_or(call.arrived);
--- a/crates/pinerill-forward/src/exchange/connection.rs
+++ b/crates/pinerill-forward/src/exchange/connection.rs
@@ -67,12 +67,12 @@
     Silent,
     /// The answer ended before its last event was whole.
     #[error("the answer ended within an event")]
-    Cut,
+    Truncated,
 }
 
 impl BreakReason {
     /// Whether the worker said nothing at all, so that others will hear nothing either.
-    pub fn is_silence(&self) -> bool {
+    pub fn is_unresponsive(&self) -> bool {
         matches!(
             self,
             BreakReason::Connect(_) | BreakReason::Refused | BreakReason::Silent
@@ -80,8 +80,8 @@
     }
 
     /// Whether the worker ended the connection, so that it may do so to others.
-    pub fn is_break(&self) -> bool {
-        matches!(self, BreakReason::Connection(_) | BreakReason::Cut)
+    pub fn is_disconnect(&self) -> bool {
+        matches!(self, BreakReason::Connection(_) | BreakReason::Truncated)
     }
 
     /// Whether the worker failed. One that is merely spared did not.
@@ -95,7 +95,7 @@
         matches!(
             self,
             BreakReason::Connection(_)
-                | BreakReason::Cut
+                | BreakReason::Truncated
                 | BreakReason::Silent
                 | BreakReason::Restarted
         )
--- a/crates/pinerill-forward/src/exchange/events.rs
+++ b/crates/pinerill-forward/src/exchange/events.rs
@@ -58,7 +58,7 @@
     }
 
     /// Whether a part of an event has arrived.
-    pub fn has_part(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 
--- a/crates/pinerill-forward/src/exchange/mod.rs
+++ b/crates/pinerill-forward/src/exchange/mod.rs
@@ -17,4 +17,4 @@
 pub use events::{EventBatch, EventOrderError, EventScanner, EventText};
 pub use health::check_health;
 pub use pool::ConnectionPool;
-pub use send::{Exchange, SendFailure, Sent, WorkerRequest};
+pub use send::{Exchange, SendFailure, StartedAnswer, WorkerRequest};
--- a/crates/pinerill-forward/src/exchange/pool.rs
+++ b/crates/pinerill-forward/src/exchange/pool.rs
@@ -125,7 +125,7 @@
     }
 
     /// Ends exchanges with starts of workers of which a later one is listed.
-    pub fn end_earlier_starts(&self, listed: &[WorkerEntry]) {
+    pub fn cancel_superseded_exchanges(&self, listed: &[WorkerEntry]) {
         self.lives.end_earlier(listed);
     }
 
--- a/crates/pinerill-forward/src/exchange/send.rs
+++ b/crates/pinerill-forward/src/exchange/send.rs
@@ -44,7 +44,7 @@
 }
 
 /// The head of a worker's answer, with the exchange that brings its body.
-pub struct Sent {
+pub struct StartedAnswer {
     /// The head.
     pub head: Parts,
     /// What the head says.
@@ -78,7 +78,7 @@
         request: &WorkerRequest,
         headers: HeaderMap,
         may_send: impl Fn() -> Result<(), BreakReason>,
-    ) -> Result<Sent, SendFailure> {
+    ) -> Result<StartedAnswer, SendFailure> {
         let not_sent = |reason| SendFailure {
             sent: false,
             reason,
@@ -105,7 +105,7 @@
         worker: &Arc<WorkerEntry>,
         request: &WorkerRequest,
         headers: HeaderMap,
-    ) -> Result<Sent, SendFailure> {
+    ) -> Result<StartedAnswer, SendFailure> {
         let http_request = build(request, headers);
         let response = tokio::select! {
             response = connection.send(http_request) => response,
@@ -136,7 +136,7 @@
             closes: answer.closes,
             life,
         };
-        Ok(Sent {
+        Ok(StartedAnswer {
             head,
             answer,
             exchange,
--- a/crates/pinerill-forward/src/node.rs
+++ b/crates/pinerill-forward/src/node.rs
@@ -273,10 +273,10 @@
             self.worker_is_gone(worker, CrashEvidence::Refused);
             self.with_fleet(|fleet, _| fleet.was_gone(worker));
         }
-        if reason.is_silence() {
+        if reason.is_unresponsive() {
             self.peers.tell_no_answer(worker);
         }
-        if reason.is_break() {
+        if reason.is_disconnect() {
             self.peers.tell_broke(worker);
         }
         self.with_fleet(|fleet, now_ms| fleet.failed(now_ms, worker));
--- a/crates/pinerill-forward/tests/events.rs
+++ b/crates/pinerill-forward/tests/events.rs
@@ -16,10 +16,10 @@
         .expect("in order");
     assert_eq!(&batch.bytes[..], b"id: 1\ndata: a\n\n");
     assert_eq!(scanner.last(), Some(1));
-    assert!(scanner.has_part());
+    assert!(scanner.has_partial_event());
     let batch = scanner.push(b"ta: b\n\n").expect("in order");
     assert_eq!(&batch.bytes[..], b"id: 2\ndata: b\n\n");
-    assert!(!scanner.has_part());
+    assert!(!scanner.has_partial_event());
 }
 
 #[test]
--- a/crates/pinerill-forward/tests/restarted_worker.rs
+++ b/crates/pinerill-forward/tests/restarted_worker.rs
@@ -109,7 +109,7 @@
         async move { begin(&pool, &first).await.err() }
     });
     sleep(Duration::from_millis(100)).await;
-    pool.end_earlier_starts(&[second]);
+    pool.cancel_superseded_exchanges(&[second]);
     let reason = timeout(AT_ONCE, ended)
         .await
         .expect("at once")
@@ -130,11 +130,11 @@
     );
     // The same start is listed, then an earlier one, then none.
     for listed in [vec![entry(address, 10)], vec![entry(address, 5)], vec![]] {
-        pool.end_earlier_starts(&listed);
+        pool.cancel_superseded_exchanges(&listed);
         let piece = timeout(Duration::from_millis(50), exchange.next_piece()).await;
         assert!(piece.is_err(), "it goes on: {piece:?}");
     }
-    pool.end_earlier_starts(&[entry(address, 20)]);
+    pool.cancel_superseded_exchanges(&[entry(address, 20)]);
     let piece = timeout(AT_ONCE, exchange.next_piece()).await;
     assert_eq!(piece.expect("at once"), Err(BreakReason::Restarted));
 }
