--- a/crates/pinerill-forward/src/batch/item.rs
+++ b/crates/pinerill-forward/src/batch/item.rs
@@ -278,7 +278,7 @@
             return Err(BreakReason::Silent);
         }
     };
-    node.heard_worker(asked_ms, &worker.id, &sent.answer);
+    node.record_worker_answer(asked_ms, &worker.id, &sent.answer);
     Ok(Begun { sent, place, run })
 }
 
--- a/crates/pinerill-forward/src/batch/preemption.rs
+++ b/crates/pinerill-forward/src/batch/preemption.rs
@@ -103,12 +103,12 @@
 
     /// A whole item took so long at workers.
     pub fn item_ended(&mut self, time: Duration) {
-        self.run_time.ended(time);
+        self.run_time.record(time);
     }
 
     /// An item that gave way has its next event after this time.
     pub fn resumed(&mut self, time: Duration) {
-        self.interruption.ended(time);
+        self.interruption.record(time);
     }
 
     /// Time that items usually run.
--- a/crates/pinerill-forward/src/call/attempt.rs
+++ b/crates/pinerill-forward/src/call/attempt.rs
@@ -98,7 +98,7 @@
                 return Err(self.lost(node, run, call, failure));
             }
         };
-        node.heard_worker(asked_ms, &worker.id, &sent.answer);
+        node.record_worker_answer(asked_ms, &worker.id, &sent.answer);
         if let Verdict::NotRun(reason) = sent.answer.verdict {
             record.attempt_failed(&reason);
             run.not_begun();
@@ -138,7 +138,7 @@
         record.waited(began.elapsed());
         match placed {
             Ok(placed) => Ok(placed),
-            Err(Unplaced::SentAway { retry_after }) => Err(AttemptEnd::SentAway { retry_after }),
+            Err(Unplaced::Rejected { retry_after }) => Err(AttemptEnd::SentAway { retry_after }),
             Err(Unplaced::OutOfTime) => Err(AttemptEnd::NotRun),
             Err(Unplaced::NoWorker) => {
                 sleep(NO_WORKER_PAUSE.min(call.remaining())).await;
--- a/crates/pinerill-forward/src/call/record.rs
+++ b/crates/pinerill-forward/src/call/record.rs
@@ -147,7 +147,7 @@
         };
         if self.outcome == CallOutcome::Answered {
             let times = &self.node.dispatcher.times;
-            times.answered(&self.route, first - placed, placed.elapsed());
+            times.record(&self.route, first - placed, placed.elapsed());
         }
     }
 
--- a/crates/pinerill-forward/src/call/request.rs
+++ b/crates/pinerill-forward/src/call/request.rs
@@ -64,7 +64,7 @@
     /// A worker may have run it.
     pub(crate) fn ran(&self) {
         if let Some(permit) = &self.permit {
-            permit.ran();
+            permit.mark_ran();
         }
     }
 
--- a/crates/pinerill-forward/src/cluster/watch.rs
+++ b/crates/pinerill-forward/src/cluster/watch.rs
@@ -79,7 +79,7 @@
                     reachability.heard(&node);
                     let is_dated = answered.format >= Format::DIRECTORY_AGE;
                     take_in(&node, answered.asked, is_dated, *response, &mut held);
-                    node.waking.heard(answered.asked);
+                    node.waking.record_refresh(answered.asked);
                 }
                 continue;
             }
@@ -244,7 +244,7 @@
     let taken = node.with_fleet(|fleet, now_ms| fleet.take_evacuations(now_ms, evacuations));
     if taken {
         log::info!(event = "evacuations_in_force", revision, zones:? = zones; "");
-        node.slow_starts.wanted();
+        node.slow_starts.notify_cold_workers();
     }
 }
 
@@ -291,7 +291,7 @@
     match taken {
         Some(gone) => {
             note_workers(node, directory.workers(), &gone, "list");
-            node.waking.heard(began);
+            node.waking.record_refresh(began);
         }
         None => log::info!(
             event = "reading_passed_over", ms = began.elapsed().as_millis() as u64; ""
@@ -301,7 +301,7 @@
 
 /// Acts on workers that are gone, and says what was taken in.
 fn note_workers(node: &Node, workers: &[WorkerEntry], gone: &[GoneWorker], source: &str) {
-    node.slow_starts.wanted();
+    node.slow_starts.notify_cold_workers();
     node.connections().end_earlier_starts(workers);
     for worker in gone {
         node.connections().forget(&worker.entry.id);
--- a/crates/pinerill-forward/src/confirmation.rs
+++ b/crates/pinerill-forward/src/confirmation.rs
@@ -94,7 +94,7 @@
 
     /// Takes in what the head of a worker's answer says of the worker. `asked_ms` is when the
     /// request was sent at the earliest.
-    pub(crate) fn heard_worker(&self, asked_ms: u64, worker: &str, answer: &WorkerAnswer) {
+    pub(crate) fn record_worker_answer(&self, asked_ms: u64, worker: &str, answer: &WorkerAnswer) {
         if let Some(load) = answer.load {
             self.take_load(worker, load);
         }
--- a/crates/pinerill-forward/src/dispatch/mod.rs
+++ b/crates/pinerill-forward/src/dispatch/mod.rs
@@ -64,7 +64,7 @@
     /// The time is up.
     OutOfTime,
     /// It can't be served in time.
-    SentAway {
+    Rejected {
         /// When to come back.
         retry_after: Duration,
     },
@@ -195,7 +195,7 @@
             event = "call_waited_in_vain", id = call.head.id.as_str(), line = self.waiting(),
             interval_ms:? = interval_ms, retry_after_ms = retry_after.as_millis() as u64; ""
         );
-        Unplaced::SentAway { retry_after }
+        Unplaced::Rejected { retry_after }
     }
 
     /// Where a call may go. Once in a while one that finds no room in its zone
@@ -260,7 +260,7 @@
                     objective_ms = call.route.objective_ms,
                     retry_after_ms = retry_after.as_millis() as u64; ""
                 );
-                Err(Unplaced::SentAway { retry_after })
+                Err(Unplaced::Rejected { retry_after })
             }
         }
     }
@@ -356,7 +356,7 @@
 pub(crate) async fn run(node: Arc<Node>) {
     loop {
         let dispatcher = &node.dispatcher;
-        if dispatcher.waiting() == 0 && !dispatcher.others_wait(node.now_ms()) {
+        if dispatcher.waiting() == 0 && !dispatcher.peers_have_waiting_calls(node.now_ms()) {
             dispatcher.changed.notified().await;
         } else {
             // Either there is news or it is time to look again.
--- a/crates/pinerill-forward/src/dispatch/times.rs
+++ b/crates/pinerill-forward/src/dispatch/times.rs
@@ -26,7 +26,7 @@
 
 impl CallTimes {
     /// A call had its first event, and its last one, so long after it had a place.
-    pub(crate) fn answered(&self, route: &str, first_event: Duration, whole: Duration) {
+    pub(crate) fn record(&self, route: &str, first_event: Duration, whole: Duration) {
         let mut routes = self.routes.lock();
         if !routes.contains_key(route) {
             if routes.len() >= REMEMBERED_ROUTES {
@@ -35,8 +35,8 @@
             routes.insert(route.to_owned(), RouteTimes::default());
         }
         if let Some(times) = routes.get_mut(route) {
-            times.first_event.ended(first_event);
-            times.whole.ended(whole);
+            times.first_event.record(first_event);
+            times.whole.record(whole);
         }
     }
 
--- a/crates/pinerill-forward/src/dispatch/zone.rs
+++ b/crates/pinerill-forward/src/dispatch/zone.rs
@@ -17,7 +17,7 @@
     /// Lets items give way to calls that wait at other nodes of the zone.
     pub(super) fn help_others(&self, node: &Node) {
         let now_ms = node.now_ms();
-        if !self.others_wait(now_ms) {
+        if !self.peers_have_waiting_calls(now_ms) {
             return;
         }
         for own in self.own_demand(node) {
@@ -50,12 +50,17 @@
     }
 
     /// Another node of the zone told what it lacks and can spare.
-    pub(crate) fn take_demand(&self, now_ms: u64, peer: SocketAddr, demand: Vec<ServiceDemand>) {
+    pub(crate) fn record_peer_demand(
+        &self,
+        now_ms: u64,
+        peer: SocketAddr,
+        demand: Vec<ServiceDemand>,
+    ) {
         self.zone.lock().take(now_ms, peer, demand);
     }
 
     /// Whether calls wait at other nodes of the zone.
-    pub(crate) fn others_wait(&self, now_ms: u64) -> bool {
+    pub(crate) fn peers_have_waiting_calls(&self, now_ms: u64) -> bool {
         self.zone.lock().any_waiting(now_ms)
     }
 
@@ -64,7 +69,7 @@
     /// of a free place would all send there. On a fleet of 50 nodes and 72 workers whose
     /// calls need more places than there are for 2.4 s each 5.8 s, eleven calls reached one
     /// worker within 1.5 ms, since the place was taken again only after 4.6 ms.
-    pub(crate) fn hand_over(&self, node: &Arc<Node>, worker: &str) -> bool {
+    pub(crate) fn grant_freed_slot(&self, node: &Arc<Node>, worker: &str) -> bool {
         if self.waiting() == 0 {
             return false;
         }
@@ -76,14 +81,14 @@
         if has_room.is_none() {
             return false;
         }
-        self.take_promised(node, WorkerKey::of(worker))
+        self.grant_promised_slot(node, WorkerKey::of(worker))
     }
 
     /// Promises a place that has become free to another node at which calls wait, unless
     /// some wait here; true if it did.
-    pub(crate) fn promise(&self, node: &Arc<Node>, worker: &str) -> bool {
+    pub(crate) fn promise_freed_slot(&self, node: &Arc<Node>, worker: &str) -> bool {
         let now_ms = node.now_ms();
-        if self.waiting() > 0 || !self.others_wait(now_ms) {
+        if self.waiting() > 0 || !self.peers_have_waiting_calls(now_ms) {
             return false;
         }
         let time = promise_time(&node.peers);
@@ -103,7 +108,7 @@
 
     /// A place is promised to this node: the first call that may go there takes it. False
     /// if there is none.
-    pub(crate) fn take_promised(&self, node: &Arc<Node>, worker: WorkerKey) -> bool {
+    pub(crate) fn grant_promised_slot(&self, node: &Arc<Node>, worker: WorkerKey) -> bool {
         let Some((waiter, chosen)) = self.promised_to(node, worker) else {
             return false;
         };
--- a/crates/pinerill-forward/src/node.rs
+++ b/crates/pinerill-forward/src/node.rs
@@ -24,9 +24,9 @@
 use crate::fleet::{BatchCapacity, Chosen, Fleet, Prompt, SlowStartPermit, Wanted};
 use crate::monitoring::{Beliefs, Metrics};
 use crate::peers::Peers;
-use crate::quota::QuotaDesk;
-use crate::slow_start::SlowStartDesk;
-use crate::waking::Waking;
+use crate::quota::NodeQuota;
+use crate::slow_start::SlowStartDemand;
+use crate::waking::ResumeGate;
 
 /// Part of the time for a planned stop in which calls are still taken: callers
 /// need some seconds to learn of it.
@@ -62,9 +62,9 @@
     pub(crate) runs: Arc<Runs>,
     pub(crate) crashes: CrashDesk,
     pub(crate) health_checks: HealthChecks,
-    pub(crate) waking: Waking,
-    pub(crate) quota: QuotaDesk,
-    pub(crate) slow_starts: SlowStartDesk,
+    pub(crate) waking: ResumeGate,
+    pub(crate) quota: NodeQuota,
+    pub(crate) slow_starts: SlowStartDemand,
     pub(crate) metrics: Metrics,
     pub(crate) beliefs: Beliefs,
     started: BootTime,
@@ -104,9 +104,9 @@
             runs: Arc::default(),
             crashes: CrashDesk::default(),
             health_checks: HealthChecks::default(),
-            waking: Waking::default(),
-            quota: QuotaDesk::default(),
-            slow_starts: SlowStartDesk::default(),
+            waking: ResumeGate::default(),
+            quota: NodeQuota::default(),
+            slow_starts: SlowStartDemand::default(),
             metrics: parts.metrics,
             beliefs: Beliefs::default(),
             started: BootTime::now(),
@@ -187,7 +187,7 @@
 
     /// Looks whether the machine was suspended, and says so.
     pub(crate) fn look_at_clocks(&self) {
-        let Some(suspended) = self.waking.look() else {
+        let Some(suspended) = self.waking.check_clocks() else {
             return;
         };
         // The leader shall tell all of it again.
@@ -201,7 +201,7 @@
     /// Waits while what is believed is as old as before a suspension of the machine.
     pub(crate) async fn until_awake(&self) {
         self.look_at_clocks();
-        while let Some(left) = self.waking.hold() {
+        while let Some(left) = self.waking.remaining_hold() {
             sleep(left.min(WAKING_LOOK_PAUSE)).await;
         }
     }
@@ -239,7 +239,7 @@
 
     /// Whether calls wait for places here or at other nodes of the zone.
     pub(crate) fn calls_wait(&self) -> bool {
-        self.dispatcher.waiting() > 0 || self.dispatcher.others_wait(self.now_ms())
+        self.dispatcher.waiting() > 0 || self.dispatcher.peers_have_waiting_calls(self.now_ms())
     }
 
     /// Takes a place at a worker.
@@ -333,8 +333,8 @@
     fn drop(&mut self) {
         self.node.with_fleet(|fleet, _| fleet.end(&self.worker));
         let dispatcher = &self.node.dispatcher;
-        let is_taken = dispatcher.hand_over(&self.node, &self.worker)
-            || dispatcher.promise(&self.node, &self.worker);
+        let is_taken = dispatcher.grant_freed_slot(&self.node, &self.worker)
+            || dispatcher.promise_freed_slot(&self.node, &self.worker);
         if !is_taken {
             self.node.dispatcher.changed.notify_one();
             self.node.peers.changed();
--- a/crates/pinerill-forward/src/peers/hear.rs
+++ b/crates/pinerill-forward/src/peers/hear.rs
@@ -56,7 +56,8 @@
             let taken =
                 node.with_fleet(|fleet, now_ms| fleet.take_peer(now_ms, from, order, counts));
             if taken {
-                node.dispatcher.take_demand(node.now_ms(), from, demand);
+                node.dispatcher
+                    .record_peer_demand(node.now_ms(), from, demand);
                 look_again(node);
                 node.peers.zone_changed.notify_one();
             }
@@ -76,7 +77,7 @@
         PeerMessage::Crashes(_) => {}
         // A place for which no call waits any more is free again for the node that promised it.
         PeerMessage::PlaceFree { worker } => {
-            node.dispatcher.take_promised(node, worker);
+            node.dispatcher.grant_promised_slot(node, worker);
         }
     }
 }
@@ -93,7 +94,7 @@
 
 /// There may be room for calls that wait here, or items here that can help others.
 fn look_again(node: &Node) {
-    if node.dispatcher.waiting() > 0 || node.dispatcher.others_wait(node.now_ms()) {
+    if node.dispatcher.waiting() > 0 || node.dispatcher.peers_have_waiting_calls(node.now_ms()) {
         node.dispatcher.changed.notify_one();
     }
 }
--- a/crates/pinerill-forward/src/quota.rs
+++ b/crates/pinerill-forward/src/quota.rs
@@ -40,7 +40,7 @@
 
 /// The node's tokens and the calls that wait for some.
 #[derive(Default)]
-pub(crate) struct QuotaDesk {
+pub(crate) struct NodeQuota {
     borrower: Mutex<Borrower>,
     /// The leader has answered, or could not be asked.
     answered: Notify,
@@ -58,7 +58,7 @@
 
 impl Permit {
     /// A worker may have run the call.
-    pub(crate) fn ran(&self) {
+    pub(crate) fn mark_ran(&self) {
         self.ran.store(true, Ordering::Relaxed);
     }
 }
--- a/crates/pinerill-forward/src/run_time.rs
+++ b/crates/pinerill-forward/src/run_time.rs
@@ -22,7 +22,7 @@
 
 impl RunTime {
     /// It took so long once more.
-    pub fn ended(&mut self, time: Duration) {
+    pub fn record(&mut self, time: Duration) {
         let time_ms = time.as_secs_f64() * 1_000.0;
         self.seen = Some(match self.seen {
             None => Seen {
--- a/crates/pinerill-forward/src/slow_start.rs
+++ b/crates/pinerill-forward/src/slow_start.rs
@@ -26,21 +26,21 @@
 
 /// What is to be asked for.
 #[derive(Default)]
-pub(crate) struct SlowStartDesk {
+pub(crate) struct SlowStartDemand {
     /// Calls that came since the last ask.
     calls: AtomicU32,
     /// Workers may have become cold.
     news: Notify,
 }
 
-impl SlowStartDesk {
+impl SlowStartDemand {
     /// A call wants a place.
     pub(crate) fn call_came(&self) {
         self.calls.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Workers may have become cold.
-    pub(crate) fn wanted(&self) {
+    pub(crate) fn notify_cold_workers(&self) {
         self.news.notify_one();
     }
 }
--- a/crates/pinerill-forward/src/waking.rs
+++ b/crates/pinerill-forward/src/waking.rs
@@ -12,86 +12,89 @@
 
 /// Longest time for which calls are held after waking. An answer of a control machine takes
 /// some milliseconds; while none answers, the node goes on with what it has.
-pub const LONGEST_HOLD: Duration = Duration::from_millis(1_000);
+pub const MAX_HOLD: Duration = Duration::from_millis(1_000);
 
 /// When the machine woke, and whether the node has asked again since.
 #[derive(Debug)]
-pub struct Waking {
+pub struct ResumeGate {
     boot: BootTime,
     /// The clock that stands still meanwhile: only its distance from the other one counts.
     steady: Instant,
-    state: Mutex<WakingState>,
+    state: Mutex<ResumeState>,
 }
 
-impl Default for Waking {
+impl Default for ResumeGate {
     fn default() -> Self {
-        Waking {
+        ResumeGate {
             boot: BootTime::now(),
             steady: Instant::now(),
-            state: Mutex::new(WakingState::new()),
+            state: Mutex::new(ResumeState::new()),
         }
     }
 }
 
-impl Waking {
+impl ResumeGate {
     /// Looks at the clocks; how long the machine was suspended since the last look.
-    pub fn look(&self) -> Option<Duration> {
+    pub fn check_clocks(&self) -> Option<Duration> {
         let (boot, steady) = (self.boot.elapsed(), self.steady.elapsed());
-        self.state.lock().look(boot, steady)
+        self.state.lock().check_clocks(boot, steady)
     }
 
     /// Who was asked at that moment has answered.
-    pub fn heard(&self, asked: BootTime) {
-        self.state.lock().heard(asked - self.boot);
+    pub fn record_refresh(&self, asked: BootTime) {
+        self.state.lock().record_refresh(asked - self.boot);
     }
 
     /// How much longer calls are held; none if they need not be.
-    pub fn hold(&self) -> Option<Duration> {
+    pub fn remaining_hold(&self) -> Option<Duration> {
         let now = self.boot.elapsed();
-        self.state.lock().hold(now)
+        self.state.lock().remaining_hold(now)
     }
 }
 
 /// The same, told all times. Pure.
 #[derive(Debug)]
-pub struct WakingState {
+pub struct ResumeState {
     watch: SuspensionWatch,
     /// When it woke, until it has asked again.
-    woke: Option<Duration>,
+    resumed_at: Option<Duration>,
 }
 
-impl WakingState {
+impl ResumeState {
     /// A machine that was never suspended.
     pub fn new() -> Self {
-        WakingState {
+        ResumeState {
             watch: SuspensionWatch::begin(Duration::ZERO, Duration::ZERO),
-            woke: None,
+            resumed_at: None,
         }
     }
 
     /// Looks at clocks that show these times since the start.
-    pub fn look(&mut self, boot: Duration, steady: Duration) -> Option<Duration> {
+    pub fn check_clocks(&mut self, boot: Duration, steady: Duration) -> Option<Duration> {
         let suspended = self.watch.look(boot, steady)?;
-        self.woke = Some(boot);
+        self.resumed_at = Some(boot);
         Some(suspended)
     }
 
     /// Who was asked at that time has answered. What was asked before the suspension may
     /// have been answered before it.
-    pub fn heard(&mut self, asked: Duration) {
-        if self.woke.is_some_and(|woke| asked >= woke) {
-            self.woke = None;
+    pub fn record_refresh(&mut self, asked: Duration) {
+        if self
+            .resumed_at
+            .is_some_and(|resumed_at| asked >= resumed_at)
+        {
+            self.resumed_at = None;
         }
     }
 
     /// How much longer calls are held; none if they need not be.
-    pub fn hold(&self, now: Duration) -> Option<Duration> {
-        let until = self.woke? + LONGEST_HOLD;
+    pub fn remaining_hold(&self, now: Duration) -> Option<Duration> {
+        let until = self.resumed_at? + MAX_HOLD;
         until.checked_sub(now).filter(|left| !left.is_zero())
     }
 }
 
-impl Default for WakingState {
+impl Default for ResumeState {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/pinerill-forward/tests/run_time.rs
+++ b/crates/pinerill-forward/tests/run_time.rs
@@ -8,10 +8,10 @@
 fn the_usual_run_time_follows_the_runs() {
     let mut time = RunTime::default();
     assert_eq!(time.typical_ms(), 0);
-    time.ended(Duration::from_secs(4));
+    time.record(Duration::from_secs(4));
     assert_eq!(time.typical_ms(), 4_000);
     for _ in 0..40 {
-        time.ended(Duration::from_secs(8));
+        time.record(Duration::from_secs(8));
     }
     assert!((7_900..=8_000).contains(&time.typical_ms()));
 }
@@ -22,8 +22,8 @@
     let mut varied = RunTime::default();
     assert_eq!((steady.shortest_ms(), steady.longest_ms()), (None, None));
     for turn in 0..60 {
-        steady.ended(Duration::from_secs(4));
-        varied.ended(Duration::from_secs(if turn % 2 == 0 { 3 } else { 5 }));
+        steady.record(Duration::from_secs(4));
+        varied.record(Duration::from_secs(if turn % 2 == 0 { 3 } else { 5 }));
     }
     let width = |time: &RunTime| time.longest_ms().unwrap() - time.shortest_ms().unwrap();
     assert!(width(&steady) < 100.0, "{}", width(&steady));
