--- a/crates/pinerill-cluster/src/machine/command.rs
+++ b/crates/pinerill-cluster/src/machine/command.rs
@@ -1,60 +1,61 @@
-//! Commands of the replicated log and what applying them answers.
+//! Commands of the replicated log and the results of applying them.
 
 use pinerill_calls::job::{CallJobId, ItemReport, NewCallJob};
 use pinerill_calls::message::{MachineRecord, PutTable, SubmitOutcome};
 use serde::{Deserialize, Serialize};
 
-/// A command with the time that has passed.
+/// Command together with the time since the previous one.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StampedCommand {
-    /// Time since the leader's last command, milliseconds of a steady clock.
+    /// Time since the leader's previous command, milliseconds of a monotonic clock.
     pub elapsed_ms: u64,
-    /// The command.
+    /// Change to apply once the clock has advanced.
     pub command: Command,
 }
 
-/// What is to change.
+/// Change to the replicated state.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Command {
-    /// A route table; in force if its version is the highest.
+    /// Puts a route table in force if its version is the highest.
     PutTable(Box<PutTable>),
-    /// A job.
+    /// Submits a job, unless it is already known or exceeds a limit.
     SubmitJob {
-        /// The job.
+        /// Job with the calls of all its items.
         job: Box<NewCallJob>,
-        /// Bytes that jobs may take in the store of each control machine; none
-        /// for no bound.
+        /// Limit on the bytes that all jobs take in the store of each control machine; `None`
+        /// for no limit.
         room_bytes: Option<u64>,
     },
-    /// No more of a job is to run.
+    /// Ends a job: its remaining items don't run.
     EndJob(CallJobId),
-    /// What became of items.
+    /// Reports the outcomes of items.
     ReportItems(Vec<ItemReport>),
-    /// A control machine has come, perhaps with a new data folder.
+    /// Records a control machine that joined, possibly with a new data folder.
     RecordMachine(MachineRecord),
-    /// A control machine, by its data folder, is to be emptied.
+    /// Marks a control machine, named by the identity of its data folder, for draining.
     Retire(u64),
-    /// Lets time pass, gives up old items and forgets old jobs.
+    /// Advances the clock, gives up items that are too old, and deletes finished jobs after
+    /// their retention.
     Upkeep {
-        /// How long a finished job is kept, milliseconds.
+        /// Time from acceptance after which a finished job may be deleted, milliseconds.
         retention_ms: u64,
     },
-    /// Workers of a zone shall get nothing new.
+    /// Stops assigning work to the workers of a zone.
     EvacuateZone(String),
-    /// A zone is in service again.
+    /// Returns an evacuated zone to service.
     ReturnZone(String),
 }
 
-/// What applying a command answers.
+/// Result of applying a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Applied {
-    /// Done.
+    /// The command was applied and has no further result.
     Done,
-    /// To [`Command::SubmitJob`].
+    /// Result of [`Command::SubmitJob`].
     Submitted(SubmitOutcome),
-    /// To [`Command::EndJob`].
+    /// Result of [`Command::EndJob`].
     Ended {
-        /// Whether there is such a job.
+        /// Whether the job exists.
         known: bool,
     },
 }
--- a/crates/pinerill-cluster/src/machine/formats.rs
+++ b/crates/pinerill-cluster/src/machine/formats.rs
@@ -1,6 +1,7 @@
-//! Commands and snapshots in the formats that this build reads and writes.
+//! Reads and writes commands and snapshots in every format that this build supports.
 //!
-//! Up to format 7 they differ in their route tables alone; orders about zones came with 8.
+//! Formats up to 7 differ only in their route tables. Format 8 adds the commands that evacuate
+//! and return zones.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,10 +17,10 @@
 
 use super::{ClusterMachine, Command, Jobs, StampedCommand};
 
-/// Reads a command, and says in which format it is.
+/// Reads a command and returns it with its format.
 ///
 /// # Errors
-/// [`MessageError`] when it is of an unknown format or malformed.
+/// [`MessageError`] if the format is unknown or the bytes are malformed.
 pub fn read_command(bytes: &[u8]) -> Result<(Format, StampedCommand), MessageError> {
     let format = format_of(bytes)?;
     let command = match format.byte() {
@@ -31,7 +32,7 @@
     Ok((format, command))
 }
 
-/// Writes a command.
+/// Writes a command in the given format.
 ///
 /// # Errors
 /// [`NotExpressible`] if the format has no such command.
@@ -44,10 +45,10 @@
     }
 }
 
-/// Reads a snapshot.
+/// Reads a snapshot in any supported format.
 ///
 /// # Errors
-/// [`MessageError`] when it is of an unknown format or malformed.
+/// [`MessageError`] if the format is unknown or the bytes are malformed.
 pub(super) fn read_machine(bytes: &[u8]) -> Result<ClusterMachine, MessageError> {
     let format = format_of(bytes)?;
     let mut machine = match format.byte() {
@@ -64,9 +65,9 @@
 pub(super) fn write_machine(machine: &ClusterMachine) -> Vec<u8> {
     let format = machine.format();
     match format.byte() {
-        4 | 5 => encode_as(format, &MachineView::<TableOf5>::of(machine)),
-        6 => encode_as(format, &MachineView::<TableOf6>::of(machine)),
-        7 => encode_as(format, &MachineView::<TableOf7>::of(machine)),
+        4 | 5 => encode_as(format, &MachineView::<TableOf5>::from_machine(machine)),
+        6 => encode_as(format, &MachineView::<TableOf6>::from_machine(machine)),
+        7 => encode_as(format, &MachineView::<TableOf7>::from_machine(machine)),
         _ => encode(machine),
     }
 }
@@ -103,7 +104,7 @@
     jobs: Jobs,
 }
 
-/// What [`OlderMachine`] reads, of a machine in use.
+/// Borrowed form of a machine's state, with the layout that [`OlderMachine`] reads.
 #[derive(Serialize)]
 struct MachineView<'machine, T> {
     clock_ms: u64,
@@ -152,7 +153,7 @@
 }
 
 impl<T: OlderTable> TryFrom<Command> for OlderCommand<T> {
-    /// What the format does not have.
+    /// Description of what the format can't express.
     type Error = &'static str;
 
     fn try_from(command: Command) -> Result<Self, &'static str> {
@@ -185,7 +186,7 @@
 }
 
 impl<'machine, T: OlderTable> MachineView<'machine, T> {
-    fn of(machine: &'machine ClusterMachine) -> Self {
+    fn from_machine(machine: &'machine ClusterMachine) -> Self {
         MachineView {
             clock_ms: machine.clock_ms,
             table: machine.table.clone().map(OlderPutTable::from),
--- a/crates/pinerill-cluster/src/machine/job.rs
+++ b/crates/pinerill-cluster/src/machine/job.rs
@@ -1,72 +1,73 @@
-//! One job as it is kept in memory.
+//! In-memory record of a job and its items.
 
 use pinerill_calls::job::{CallJobId, ListedState};
 use serde::{Deserialize, Serialize};
 
-/// A job.
+/// Job that was accepted and not yet deleted.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// The caller's name for it.
+    /// Identifier chosen by the caller.
     pub id: CallJobId,
-    /// Host of its route.
+    /// Host of the job's route.
     pub host: String,
-    /// Name of its route.
+    /// Name of the job's route.
     pub route: String,
-    /// When it was accepted, on the group's clock.
+    /// Time of acceptance on the group's clock, milliseconds.
     pub accepted_ms: u64,
-    /// When its results are due, on the group's clock.
+    /// Time at which the results are due on the group's clock, milliseconds.
     pub due_ms: u64,
-    /// When its items may be given up, on the group's clock.
+    /// Time after which unfinished items are given up, on the group's clock, milliseconds.
     pub give_up_at_ms: u64,
-    /// Failed runs after which an item is given up.
+    /// Number of failed runs after which an item is given up, at least 1.
     pub attempts: u32,
-    /// Its items, in the order of submission.
+    /// Items in the order of submission.
     pub items: Vec<ItemRecord>,
-    /// Its results, in the order in which they are told.
+    /// Results in the order in which they are returned to the caller. Entries are only
+    /// appended.
     pub listed: Vec<ListedRecord>,
-    /// Its caller has ended it.
+    /// Whether the caller has ended the job.
     pub ended: bool,
 }
 
-/// An item.
+/// Item of a job. Its call is kept in the state table.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ItemRecord {
-    /// The caller's name for it.
+    /// Identifier chosen by the caller.
     pub id: String,
-    /// Its tokens.
+    /// Number of tokens that count against the limit on waiting tokens.
     pub tokens: u64,
-    /// Length of its call, bytes.
+    /// Length of the item's call, bytes.
     pub call_bytes: u32,
-    /// Runs that failed, by the numbers of their reports.
+    /// Numbers of the runs that failed, as their reports gave them. Each number occurs once.
     pub failed_runs: Vec<u64>,
-    /// How far it is.
+    /// Progress of the item.
     pub phase: ItemPhase,
 }
 
-/// How far an item is.
+/// Progress of an item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ItemPhase {
-    /// It is to run, or runs.
+    /// The item is queued or running.
     Waiting,
-    /// It has its place in the results.
+    /// The item has an entry in the results.
     Listed,
-    /// Its job was ended before it was done.
+    /// The job was ended before the item completed.
     Dropped,
 }
 
-/// An entry of the results; its text lives in the state table.
+/// Entry of a job's results. The text of a completed item is kept in the state table.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct ListedRecord {
-    /// Position of the item in the job.
+    /// Index of the item in the job.
     pub index: u32,
-    /// Its state.
+    /// Whether the item completed or was given up.
     pub state: ListedState,
-    /// Length of its text, bytes.
+    /// Length of the result's text, bytes; 0 if the item was given up.
     pub text_bytes: u32,
 }
 
 impl JobRecord {
-    /// Whether nothing of it will run any more.
+    /// Returns whether no item of the job will run again.
     pub fn is_finished(&self) -> bool {
         self.ended || self.listed.len() == self.items.len()
     }
--- a/crates/pinerill-cluster/src/machine/jobs.rs
+++ b/crates/pinerill-cluster/src/machine/jobs.rs
@@ -1,9 +1,10 @@
-//! All jobs: acceptance, results, ends, and the order in which items wait.
+//! All jobs of the group: acceptance, results, completion and the order of the queue.
 //!
 //! Invariants: an item is in `queue` exactly while it is [`ItemPhase::Waiting`];
-//! `waiting_tokens` sums the tokens of just these by tenant and route, and has no zeros;
-//! `listed` only grows, and the text of a position is written once, by the report that lists
-//! it; `room` counts the calls of waiting items and the texts of listed ones, and no others.
+//! `waiting_tokens` sums the tokens of exactly these items by tenant and route, and holds no
+//! zeros; `listed` only grows, and the text at a position is written once, by the report that
+//! appends it; `room` counts the calls of waiting items, the texts of listed ones and the
+//! records of all items, and nothing else.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -14,34 +15,35 @@
 
 use super::job::{ItemPhase, ItemRecord, JobRecord, ListedRecord};
 use super::keys::{call_key, text_key};
-use super::room::StoreUsage;
+use super::store_usage::StoreUsage;
 
-/// Jobs that one upkeep forgets at most.
-const FORGOTTEN_AT_ONCE: usize = 16;
+/// Limit on the number of jobs that one upkeep command deletes.
+const MAX_JOBS_DELETED_PER_UPKEEP: usize = 16;
 
-/// Place of a waiting item: earliest due first, then in order of acceptance.
+/// Position of a waiting item in the queue: earliest due time first, then in order of
+/// acceptance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct QueuePosition {
-    /// When its result is due, on the group's clock.
+    /// Time at which the item's result is due on the group's clock, milliseconds.
     pub due_ms: u64,
-    /// Number of its job.
+    /// Number of the job, in order of acceptance.
     pub job: u64,
-    /// Its position in the job.
+    /// Index of the item in the job.
     pub index: u32,
 }
 
-/// What is to become of a submission.
+/// Decision on a submitted job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It is to be kept.
+    /// The job is new and within all limits.
     New,
-    /// It is kept since an earlier submission.
+    /// The job was already accepted by an earlier submission.
     Known,
-    /// It does not fit.
+    /// The job exceeds a limit; the outcome names which one.
     Rejected(SubmitOutcome),
 }
 
-/// All jobs of the group.
+/// Jobs with their queue and the counters that limit them.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Jobs {
     next_number: u64,
@@ -53,41 +55,42 @@
 }
 
 impl Jobs {
-    /// A job's number and record.
+    /// Returns a job's number and record; `None` if the job is unknown or was deleted.
     pub fn find(&self, id: &CallJobId) -> Option<(u64, &JobRecord)> {
         let number = *self.numbers.get(id)?;
         let record = self.records.get(&number)?;
         Some((number, record))
     }
 
-    /// The record with this number.
+    /// Returns the record of the job with this number; `None` if it was deleted.
     pub fn record(&self, number: u64) -> Option<&JobRecord> {
         self.records.get(&number)
     }
 
-    /// Waiting items, in their order.
+    /// Queue of waiting items, first to run first.
     pub fn queue(&self) -> &BTreeSet<QueuePosition> {
         &self.queue
     }
 
-    /// Whether there is any job.
+    /// Returns whether no jobs are recorded, finished ones included.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Tokens that wait on a job's route and are of its tenant.
+    /// Returns the number of tokens of waiting items on a route that belong to the tenant of
+    /// `job`.
     pub fn waiting_tokens(&self, job: &CallJobId, route: &str) -> u64 {
         let scope = job.waiting_scope(route);
         self.waiting_tokens.get(&scope).copied().unwrap_or_default()
     }
 
-    /// What jobs take in the store.
+    /// Space that jobs take in the store.
     pub fn store_usage(&self) -> &StoreUsage {
         &self.room
     }
 
-    /// Where a waiting item stands in the queue; none once it is listed or
-    /// dropped.
+    /// Returns the position of a waiting item in the queue; `None` if the item is unknown,
+    /// listed or dropped.
     pub fn position(&self, id: &CallJobId, index: u32) -> Option<QueuePosition> {
         let (number, record) = self.find(id)?;
         let item = record.items.get(index as usize)?;
@@ -98,7 +101,8 @@
         })
     }
 
-    /// Whether a job would be taken now.
+    /// Decides whether a job would be accepted now. `room_bytes` limits the bytes that all jobs
+    /// take in the store; `None` means no limit.
     pub fn admit(&self, job: &NewCallJob, room_bytes: Option<u64>) -> Admission {
         if self.numbers.contains_key(&job.id) {
             return Admission::Known;
@@ -108,13 +112,13 @@
         if job.max_waiting_tokens > 0 && waiting + tokens > job.max_waiting_tokens {
             return Admission::Rejected(SubmitOutcome::OverLimit);
         }
-        if room_bytes.is_some_and(|limit| !self.has_room(job, limit)) {
+        if room_bytes.is_some_and(|limit| !self.has_space(job, limit)) {
             return Admission::Rejected(SubmitOutcome::NoRoom);
         }
         Admission::New
     }
 
-    /// Takes a job; one that is known already stays as it is.
+    /// Accepts a job if its limits allow it. A job that is already known is left unchanged.
     pub(super) fn submit(
         &mut self,
         job: NewCallJob,
@@ -137,7 +141,7 @@
         for (index, item) in job.items.into_iter().enumerate() {
             let index = index as u32;
             table.put(&call_key(number, index), &item.call);
-            self.room.call_stored(item.call.len());
+            self.room.add_call(item.call.len());
             self.queue.insert(QueuePosition {
                 due_ms,
                 job: number,
@@ -151,7 +155,7 @@
                 phase: ItemPhase::Waiting,
             });
         }
-        self.room.items_recorded(items.len());
+        self.room.add_records(items.len());
         self.numbers.insert(job.id.clone(), number);
         let record = JobRecord {
             id: job.id,
@@ -169,19 +173,19 @@
         SubmitOutcome::Accepted
     }
 
-    fn has_room(&self, job: &NewCallJob, limit: u64) -> bool {
+    fn has_space(&self, job: &NewCallJob, limit: u64) -> bool {
         let call_lengths = job.items.iter().map(|item| item.call.len());
         self.room.fits(self.queue.len(), call_lengths, limit)
     }
 
-    /// Ends a job; what is listed stays. False if there is no such job.
+    /// Ends a job and keeps its results. Returns false if there is no such job.
     pub(super) fn end(&mut self, id: &CallJobId, table: &mut dyn TableWriter) -> bool {
         let Some(number) = self.numbers.get(id).copied() else {
             return false;
         };
-        let waiting = self.waiting_items(number);
+        let waiting = self.waiting_indices(number);
         for index in waiting {
-            self.leave_queue(number, index, ItemPhase::Dropped, table);
+            self.remove_from_queue(number, index, ItemPhase::Dropped, table);
         }
         if let Some(record) = self.records.get_mut(&number) {
             record.ended = true;
@@ -189,57 +193,58 @@
         true
     }
 
-    /// Takes in what became of an item. Only a waiting item can get a result,
-    /// so the first report that ends it counts and later ones change nothing.
+    /// Applies the outcome of an item. Only a waiting item can get a result, so the first
+    /// report that completes it counts and later ones change nothing.
     pub(super) fn report(&mut self, report: ItemReport, table: &mut dyn TableWriter) {
         let Some(position) = self.position(&report.item.job, report.item.index) else {
             return;
         };
         match report.end {
             ItemEnd::Completed(text) => {
-                self.list(position, ListedState::Completed, &text, table);
+                self.append_result(position, ListedState::Completed, &text, table);
             }
-            ItemEnd::Impossible => self.list(position, ListedState::Dead, &[], table),
+            ItemEnd::Impossible => self.append_result(position, ListedState::Dead, &[], table),
             ItemEnd::Failed { run } => {
                 if self.count_failure(position, run) {
-                    self.list(position, ListedState::Dead, &[], table);
+                    self.append_result(position, ListedState::Dead, &[], table);
                 }
             }
         }
     }
 
-    /// Gives up what is too old and forgets finished jobs after their time.
+    /// Gives up items that are too old and deletes finished jobs after their retention.
     pub(super) fn upkeep(&mut self, now_ms: u64, retention_ms: u64, table: &mut dyn TableWriter) {
         let too_old: Vec<QueuePosition> = self
             .queue
             .iter()
-            .filter(|place| self.gives_up(place.job, now_ms))
+            .filter(|queued| self.is_past_give_up(queued.job, now_ms))
             .copied()
             .collect();
-        for place in too_old {
-            self.list(place, ListedState::Dead, &[], table);
+        for queued in too_old {
+            self.append_result(queued, ListedState::Dead, &[], table);
         }
-        let forgotten: Vec<u64> = self
+        let expired: Vec<u64> = self
             .records
             .iter()
             .filter(|(_, record)| {
                 record.is_finished() && now_ms > record.accepted_ms + retention_ms
             })
             .map(|(number, _)| *number)
-            .take(FORGOTTEN_AT_ONCE)
+            .take(MAX_JOBS_DELETED_PER_UPKEEP)
             .collect();
-        for number in forgotten {
-            self.forget(number, table);
+        for number in expired {
+            self.delete(number, table);
         }
     }
 
-    fn gives_up(&self, number: u64, now_ms: u64) -> bool {
+    fn is_past_give_up(&self, number: u64, now_ms: u64) -> bool {
         let record = self.records.get(&number);
         record.is_some_and(|record| now_ms > record.give_up_at_ms)
     }
 
-    /// True once the item has failed too often. A run counts once, however often
-    /// it is reported: a node reports again when no answer reached it.
+    /// Records a failed run and returns true once the item has failed too often. A run counts
+    /// once however often it is reported, because a node repeats a report whose answer it did
+    /// not receive.
     fn count_failure(&mut self, position: QueuePosition, run: u64) -> bool {
         let Some(record) = self.records.get_mut(&position.job) else {
             return false;
@@ -254,30 +259,30 @@
         item.failed_runs.len() >= attempts as usize
     }
 
-    fn list(
+    fn append_result(
         &mut self,
-        place: QueuePosition,
+        queued: QueuePosition,
         state: ListedState,
         text: &[u8],
         table: &mut dyn TableWriter,
     ) {
-        self.leave_queue(place.job, place.index, ItemPhase::Listed, table);
-        let Some(record) = self.records.get_mut(&place.job) else {
+        self.remove_from_queue(queued.job, queued.index, ItemPhase::Listed, table);
+        let Some(record) = self.records.get_mut(&queued.job) else {
             return;
         };
         let position = record.listed.len() as u32;
         record.listed.push(ListedRecord {
-            index: place.index,
+            index: queued.index,
             state,
             text_bytes: text.len() as u32,
         });
         if state == ListedState::Completed {
-            table.put(&text_key(place.job, position), text);
-            self.room.text_stored(text.len());
+            table.put(&text_key(queued.job, position), text);
+            self.room.add_text(text.len());
         }
     }
 
-    fn leave_queue(
+    fn remove_from_queue(
         &mut self,
         number: u64,
         index: u32,
@@ -304,10 +309,10 @@
             }
         }
         table.delete(&call_key(number, index));
-        self.room.removed(item.call_bytes as usize);
+        self.room.remove_value(item.call_bytes as usize);
     }
 
-    fn waiting_items(&self, number: u64) -> Vec<u32> {
+    fn waiting_indices(&self, number: u64) -> Vec<u32> {
         let Some(record) = self.records.get(&number) else {
             return Vec::new();
         };
@@ -318,16 +323,16 @@
             .collect()
     }
 
-    fn forget(&mut self, number: u64, table: &mut dyn TableWriter) {
+    fn delete(&mut self, number: u64, table: &mut dyn TableWriter) {
         let Some(record) = self.records.remove(&number) else {
             return;
         };
         self.numbers.remove(&record.id);
-        self.room.items_forgotten(record.items.len());
+        self.room.remove_records(record.items.len());
         for (position, listed) in record.listed.iter().enumerate() {
             if listed.state == ListedState::Completed {
                 table.delete(&text_key(number, position as u32));
-                self.room.removed(listed.text_bytes as usize);
+                self.room.remove_value(listed.text_bytes as usize);
             }
         }
     }
--- a/crates/pinerill-cluster/src/machine/keys.rs
+++ b/crates/pinerill-cluster/src/machine/keys.rs
@@ -1,23 +1,24 @@
-//! Keys of the state table.
+//! Keys of the state table: a prefix byte, the job's number and an index, both in big-endian
+//! order.
 
-/// First byte of keys of items' calls.
-const CALLS: u8 = b'c';
-/// First byte of keys of results' texts.
-const TEXTS: u8 = b't';
+/// Prefix of the keys under which the calls of items are stored.
+const CALL_PREFIX: u8 = b'c';
+/// Prefix of the keys under which the texts of results are stored.
+const TEXT_PREFIX: u8 = b't';
 
-/// Key of an item's call.
+/// Returns the key of the call of the item at `index` in the job.
 pub fn call_key(job: u64, index: u32) -> Vec<u8> {
-    key(CALLS, job, index)
+    key(CALL_PREFIX, job, index)
 }
 
-/// Key of the text at a position of a job's results.
+/// Returns the key of the text at `position` in the job's results.
 pub fn text_key(job: u64, position: u32) -> Vec<u8> {
-    key(TEXTS, job, position)
+    key(TEXT_PREFIX, job, position)
 }
 
-fn key(kind: u8, job: u64, place: u32) -> Vec<u8> {
-    let mut key = vec![kind];
+fn key(prefix: u8, job: u64, index: u32) -> Vec<u8> {
+    let mut key = vec![prefix];
     key.extend_from_slice(&job.to_be_bytes());
-    key.extend_from_slice(&place.to_be_bytes());
+    key.extend_from_slice(&index.to_be_bytes());
     key
 }
--- a/crates/pinerill-cluster/src/machine/mod.rs
+++ b/crates/pinerill-cluster/src/machine/mod.rs
@@ -1,23 +1,22 @@
-//! The replicated state machine: route table, jobs, control machines.
+//! Replicated state machine: route table, jobs and control machines.
 //!
-//! What is in memory is saved in snapshots; calls of items and texts of
-//! results live in the state table, which `apply` writes and never reads.
-//! Time is a clock of the group's own: each command brings the time that has
-//! passed since its leader's last one, so that no machine's time of day counts
-//! and no time runs while nobody leads.
+//! The state in memory is saved in snapshots. The calls of items and the texts of results are
+//! kept in the state table, which `apply` writes and never reads. Time is the group's own
+//! clock: each command carries the time since the leader's previous command, so no machine's
+//! wall clock matters, and the clock stands still while there is no leader.
 //!
-//! Machines of several builds replicate it side by side. The format in force is the newest one
-//! of any command applied, so that all replicas agree on it; snapshots are written in it, and
-//! the leader writes a newer one only once all machines have told that they read it
-//! (`server::upgrade`). A command that can't be read ends the replica's part: another one may
-//! have read and applied it.
+//! Machines of several builds replicate the state side by side. The format in force is the
+//! newest format of any applied command, so all replicas agree on it. Snapshots are written in
+//! it, and the leader writes commands in a newer format only after all machines have reported
+//! that they can read it (`server::upgrade`). A command that can't be read stops the replica,
+//! because another replica may have read and applied it.
 
 mod command;
 mod formats;
 mod job;
 mod jobs;
 mod keys;
-mod room;
+mod store_usage;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,16 +30,17 @@
 pub use job::{ItemPhase, ItemRecord, JobRecord, ListedRecord};
 pub use jobs::{Admission, Jobs, QueuePosition};
 pub use keys::{call_key, text_key};
-pub use room::StoreUsage;
+pub use store_usage::StoreUsage;
 
-/// Longest step of the group's clock between two commands, milliseconds: a
-/// leader that was frozen does not make everything late at once.
-const LONGEST_STEP_MS: u64 = 2_000;
+/// Longest step of the group's clock between two commands, milliseconds. It keeps a leader that
+/// was suspended from making all items late at once.
+const MAX_CLOCK_STEP_MS: u64 = 2_000;
 
-/// State of the group.
+/// State that every replica of the group holds.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct ClusterMachine {
-    /// Newest format of what was applied or restored; its byte stands before the snapshot.
+    /// Newest format applied or restored; `None` for an empty state. Snapshots start with its
+    /// byte instead of containing this field.
     #[serde(skip)]
     format: Option<Format>,
     clock_ms: u64,
@@ -53,49 +53,49 @@
 }
 
 impl ClusterMachine {
-    /// The format in force: in which commands and snapshots are written. A state that nothing
-    /// was applied to is the beginning of a new group.
+    /// Format in force, in which commands and snapshots are written. A state to which nothing
+    /// was applied belongs to a new group and uses the newest format.
     pub fn format(&self) -> Format {
         self.format.unwrap_or(Format::NEWEST)
     }
 
-    /// The group's clock, milliseconds.
+    /// Time on the group's clock, milliseconds.
     pub fn clock_ms(&self) -> u64 {
         self.clock_ms
     }
 
-    /// The route table in force with its document.
+    /// Route table in force, together with its source document; `None` before the first one.
     pub fn table(&self) -> Option<&PutTable> {
         self.table.as_ref()
     }
 
-    /// Control machines that ever joined and were not replaced, by the
-    /// identity of their data folders.
+    /// Control machines that have joined and were not replaced, by the identity of their data
+    /// folder.
     pub fn machines(&self) -> &BTreeMap<u64, MachineRecord> {
         &self.machines
     }
 
-    /// Data folders whose machine came back with another one.
+    /// Data folders that were lost: their machine returned with a new one.
     pub fn replaced(&self) -> &BTreeSet<u64> {
         &self.replaced
     }
 
-    /// Machines that are to be emptied.
+    /// Machines that an operator wants drained, by the identity of their data folder.
     pub fn retiring(&self) -> &BTreeSet<u64> {
         &self.retiring
     }
 
-    /// All jobs.
+    /// Jobs that have not been deleted, finished ones included.
     pub fn jobs(&self) -> &Jobs {
         &self.jobs
     }
 
-    /// Zones whose workers get nothing new.
+    /// Zones whose workers receive no new calls or items.
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    fn carry_out(&mut self, command: Command, table: &mut dyn TableWriter) -> Applied {
+    fn execute(&mut self, command: Command, table: &mut dyn TableWriter) -> Applied {
         match command {
             Command::PutTable(put) => self.put_table(*put),
             Command::SubmitJob { job, room_bytes } => {
@@ -131,8 +131,8 @@
         }
     }
 
-    /// The highest version is in force; an equal or lower one changes nothing,
-    /// whatever its content.
+    /// Replaces the route table if the new version is higher. An equal or lower version changes
+    /// nothing, whatever its content.
     fn put_table(&mut self, put: PutTable) -> Applied {
         let newer = |held: &PutTable| put.table.version > held.table.version;
         if self.table.as_ref().is_none_or(newer) {
@@ -141,7 +141,8 @@
         Applied::Done
     }
 
-    /// A machine that comes with another data folder has lost its old one.
+    /// Records a control machine. A machine that returns with another data folder has lost its
+    /// old one, which then counts as replaced.
     fn record_machine(&mut self, record: MachineRecord) -> Applied {
         if self.replaced.contains(&record.replica) {
             return Applied::Done;
@@ -163,7 +164,7 @@
         Applied::Done
     }
 
-    /// The table's version; none without a table.
+    /// Version of the route table in force; `None` without a table.
     pub fn table_version(&self) -> Option<u64> {
         self.table.as_ref().map(|held| held.table.version)
     }
@@ -179,8 +180,8 @@
         let read = read_command(command);
         let (format, stamped) = read.map_err(|error| UnreadableState(error.to_string()))?;
         self.format = self.format.max(Some(format));
-        self.clock_ms += stamped.elapsed_ms.min(LONGEST_STEP_MS);
-        Ok(encode(&self.carry_out(stamped.command, table)))
+        self.clock_ms += stamped.elapsed_ms.min(MAX_CLOCK_STEP_MS);
+        Ok(encode(&self.execute(stamped.command, table)))
     }
 
     fn snapshot(&self) -> Vec<u8> {
