--- a/crates/pinerill-cluster/examples/leader_rates.rs
+++ b/crates/pinerill-cluster/examples/leader_rates.rs
@@ -1,5 +1,5 @@
-//! Processor time that a leader takes for readings of the platform list and for watches, by the
-//! size of the fleet.
+//! Prints the processor time that a leader spends on polls of the platform list and on watches,
+//! by the size of the fleet.
 //!
 //! ```text
 //! cargo run --release -p pinerill-cluster --example leader_rates
@@ -12,7 +12,7 @@
 use pinerill_cluster::cells::{Cells, WatchingNode};
 
 const ZONES: u32 = 5;
-const READINGS: u32 = 10;
+const POLLS: u32 = 10;
 
 fn worker(number: u32) -> WorkerEntry {
     WorkerEntry {
@@ -38,12 +38,12 @@
         cell: None,
     };
     let cell = cells.record_node(0, &node);
-    let told = cells.neighbours(cell, &zone, node.peer);
-    assert!(!told.peers.is_empty());
+    let neighbours = cells.neighbours(cell, &zone, node.peer);
+    assert!(!neighbours.peers.is_empty());
     cell
 }
 
-fn micros(count: u32, mut work: impl FnMut(u32)) -> f64 {
+fn mean_micros(count: u32, mut work: impl FnMut(u32)) -> f64 {
     let began = Instant::now();
     for number in 0..count {
         work(number);
@@ -52,7 +52,7 @@
 }
 
 fn main() {
-    println!("nodes workers | reading without news, us | one in a hundred replaced, us | watch, us | first directory, us");
+    println!("nodes workers | poll without changes, us | poll with 1% of workers replaced, us | watch, us | watch with first directory, us");
     for (nodes, workers) in [
         (100, 1_000),
         (1_000, 10_000),
@@ -62,25 +62,25 @@
         let mut cells = Cells::default();
         let listed = |from: u32| (from..from + workers).map(worker).collect::<Vec<_>>();
         cells.update_workers(0, listed(0));
-        let readings: Vec<_> = (0..READINGS).map(|_| listed(0)).collect();
-        let mut readings = readings.into_iter();
-        let same = micros(READINGS, |_| {
-            cells.update_workers(1, readings.next().expect("a reading"));
+        let polls: Vec<_> = (0..POLLS).map(|_| listed(0)).collect();
+        let mut polls = polls.into_iter();
+        let same = mean_micros(POLLS, |_| {
+            cells.update_workers(1, polls.next().expect("one list per poll"));
         });
-        let changed: Vec<_> = (1..=READINGS)
+        let changed: Vec<_> = (1..=POLLS)
             .map(|step| listed(step * workers / 100))
             .collect();
         let mut changed = changed.into_iter();
-        let replaced = micros(READINGS, |_| {
-            cells.update_workers(2, changed.next().expect("a reading"));
+        let replaced = mean_micros(POLLS, |_| {
+            cells.update_workers(2, changed.next().expect("one list per poll"));
         });
-        micros(nodes, |number| {
+        mean_micros(nodes, |number| {
             watch(&mut cells, number);
         });
-        let again = micros(nodes, |number| {
+        let again = mean_micros(nodes, |number| {
             watch(&mut cells, number);
         });
-        let first = micros(nodes, |number| {
+        let first = mean_micros(nodes, |number| {
             let cell = watch(&mut cells, number);
             let update = cells.update(cell, None);
             assert!(update.is_some());
--- a/crates/pinerill-cluster/src/cells.rs
+++ b/crates/pinerill-cluster/src/cells.rs
@@ -180,8 +180,9 @@
     }
 
     /// Returns the update from the directory with digest `held` to the current one of a cell;
-    /// `None` if `held` is the current one. Each update is built once and shared by all nodes
-    /// that hold the same directory.
+    /// `None` if `held` is the current one or the list was never polled. An unknown `held` gives
+    /// the whole directory. Each update is built once and shared by all nodes that hold the same
+    /// directory.
     pub fn update(
         &mut self,
         cell: CellId,
--- a/crates/pinerill-cluster/src/machine/job.rs
+++ b/crates/pinerill-cluster/src/machine/job.rs
@@ -6,7 +6,7 @@
 /// Job that was accepted and not yet deleted.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// Identifier chosen by the caller.
+    /// Identifier assigned by the caller.
     pub id: CallJobId,
     /// Host of the job's route.
     pub host: String,
@@ -32,7 +32,7 @@
 /// Item of a job. Its call is kept in the state table.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ItemRecord {
-    /// Identifier chosen by the caller.
+    /// Identifier assigned by the caller.
     pub id: String,
     /// Number of tokens that count against the limit on waiting tokens.
     pub tokens: u64,
--- a/crates/pinerill-cluster/src/membership.rs
+++ b/crates/pinerill-cluster/src/membership.rs
@@ -94,7 +94,7 @@
     Some(MembershipStep::HandOver(*successor))
 }
 
-/// Returns whether the group no longer needs a machine: it is no member, and the group is
+/// Returns whether the group does not need a machine: it is no member, and the group is
 /// complete and caught up without it.
 pub fn is_drained(view: &MembershipView<'_>, replica: ReplicaId) -> bool {
     let min_voters = view.settings.min_voters;
@@ -141,7 +141,7 @@
     }
 
     /// Returns whether a machine has been silent for so long that it is to be replaced. A
-    /// machine that was never heard in this leadership gets the full time from the start of the
+    /// machine that sent nothing in this leadership gets the full time from the start of the
     /// leadership.
     fn is_lost(&self, replica: u64) -> bool {
         let silent = self.silent_ms.get(&replica).copied();
--- a/crates/pinerill-cluster/tests/backlog.rs
+++ b/crates/pinerill-cluster/tests/backlog.rs
@@ -1,23 +1,23 @@
-//! How tight the backlog is.
+//! Slack of the queued items, and the reserve that they keep.
 
 use pinerill_cluster::backlog::{Backlog, ItemDeadline};
 use proptest::prelude::*;
 
-/// Items run so long.
+/// Time for which an item runs, milliseconds.
 const RUN_MS: u64 = 4_000;
 
-fn waiting(remaining_ms: u64) -> ItemDeadline {
+fn deadline(remaining_ms: u64) -> ItemDeadline {
     ItemDeadline {
         remaining_ms,
         allowed_ms: 20_000,
     }
 }
 
-/// One item has ended each 100 ms for 20 s.
-fn ten_a_second() -> Backlog {
+/// Returns a backlog in which one item has completed every 100 ms for 20 s.
+fn completing_ten_per_second() -> Backlog {
     let mut backlog = Backlog::new(0);
-    for end in 1..=200 {
-        backlog.record_completions(end * 100, 1);
+    for completion in 1..=200 {
+        backlog.record_completions(completion * 100, 1);
     }
     backlog
 }
@@ -25,41 +25,41 @@
 fn slack(backlog: &mut Backlog, remaining_ms: &[u64]) -> Option<i64> {
     let items = remaining_ms
         .iter()
-        .map(|remaining_ms| waiting(*remaining_ms));
+        .map(|remaining_ms| deadline(*remaining_ms));
     backlog.refresh(20_000, items, RUN_MS);
     backlog.slack_ms()
 }
 
 #[test]
-fn nothing_that_waits_has_no_slack_to_lose() {
-    assert_eq!(slack(&mut ten_a_second(), &[]), None);
+fn an_empty_queue_has_no_slack() {
+    assert_eq!(slack(&mut completing_ten_per_second(), &[]), None);
 }
 
 #[test]
-fn an_item_keeps_half_of_the_slack_with_which_it_came() {
-    // 20 s allowed and 4 s of running leave 16 s of slack, of which 8 s stay.
-    let slack = slack(&mut ten_a_second(), &[20_000]).expect("one waits");
+fn an_item_keeps_half_of_its_initial_slack_in_reserve() {
+    // 20 s allowed and a run time of 4 s leave 16 s of slack, of which 8 s are reserved.
+    let slack = slack(&mut completing_ten_per_second(), &[20_000]).expect("one item is queued");
     assert!((7_800..=7_950).contains(&slack), "{slack}");
 }
 
 #[test]
-fn each_item_waits_for_those_before_it() {
-    let mut backlog = ten_a_second();
-    let one = slack(&mut backlog, &[20_000]).expect("one waits");
-    let many = slack(&mut backlog, &[20_000; 50]).expect("many wait");
+fn slack_shrinks_with_the_number_of_items_ahead() {
+    let mut backlog = completing_ten_per_second();
+    let one = slack(&mut backlog, &[20_000]).expect("one item is queued");
+    let many = slack(&mut backlog, &[20_000; 50]).expect("many items are queued");
     let longer = one - many;
     assert!((4_500..=5_500).contains(&longer), "{longer}");
 }
 
 #[test]
-fn while_no_pace_is_known_the_order_says_nothing() {
+fn queue_position_is_ignored_while_no_rate_is_known() {
     let mut backlog = Backlog::new(0);
     assert_eq!(slack(&mut backlog, &[20_000; 50]), Some(8_000));
 }
 
 #[test]
-fn the_backlog_is_looked_at_once_in_a_while() {
-    let mut backlog = ten_a_second();
+fn slack_goes_stale_after_the_refresh_interval() {
+    let mut backlog = completing_ten_per_second();
     assert!(backlog.is_stale(20_000));
     slack(&mut backlog, &[20_000]);
     assert!(!backlog.is_stale(20_050));
@@ -67,13 +67,13 @@
 }
 
 proptest! {
-    /// More items, or less time, never make the backlog looser.
+    /// Slack never grows if an item is added or if all items are due earlier.
     #[test]
-    fn slack_falls_with_what_waits(
+    fn slack_never_grows_with_more_items_or_less_time(
         remaining_ms in proptest::collection::vec(0_u64..20_000, 1..40),
         sooner_ms in 0_u64..5_000,
     ) {
-        let mut backlog = ten_a_second();
+        let mut backlog = completing_ten_per_second();
         let all = slack(&mut backlog, &remaining_ms);
         let fewer = slack(&mut backlog, &remaining_ms[..remaining_ms.len() - 1]);
         prop_assert!(fewer.is_none() || fewer >= all);
@@ -83,68 +83,70 @@
 }
 
 #[test]
-fn items_that_run_say_what_the_fleet_can_do_while_few_can_have_ended() {
-    // A leader for six seconds: items of four seconds have only begun to end.
-    let six_seconds = || {
+fn running_items_bound_the_completion_interval_shortly_after_start() {
+    // The leader has led for six seconds, so items that run for four seconds have only begun to
+    // complete.
+    let leading_for_six_seconds = || {
         let mut backlog = Backlog::new(14_000);
-        for end in 1..=8 {
-            backlog.record_completions(18_000 + end * 200, 1);
+        for completion in 1..=8 {
+            backlog.record_completions(18_000 + completion * 200, 1);
         }
         backlog
     };
-    let mut backlog = six_seconds();
-    let before = slack(&mut backlog, &[20_000; 40]).expect("many wait");
+    let mut backlog = leading_for_six_seconds();
+    let before = slack(&mut backlog, &[20_000; 40]).expect("many items are queued");
     assert!(before < 0, "{before}");
     backlog.set_leased(40);
-    // 40 items of 4 s each: ten a second.
-    let with = slack(&mut backlog, &[20_000; 40]).expect("many wait");
+    // 40 running items of 4 s each complete at ten per second.
+    let with = slack(&mut backlog, &[20_000; 40]).expect("many items are queued");
     assert!((3_500..=4_500).contains(&with), "{with}");
-    // Few that run don't make the pace worse than it was seen.
+    // A small number of running items does not lower the observed rate.
     backlog.set_leased(1);
     assert_eq!(slack(&mut backlog, &[20_000; 40]), Some(before));
 }
 
 #[test]
-fn a_pace_that_was_seen_for_long_counts_more_than_what_runs() {
-    let mut backlog = ten_a_second();
+fn running_items_are_ignored_once_the_rate_is_established() {
+    let mut backlog = completing_ten_per_second();
     let before = slack(&mut backlog, &[20_000; 50]);
     backlog.set_leased(400);
     assert_eq!(slack(&mut backlog, &[20_000; 50]), before);
 }
 
-/// Slack of one item that waits, where items end with these parts of their slack left.
-fn slack_after_ends(parts: &[f64]) -> i64 {
-    let mut backlog = ten_a_second();
-    for part in parts {
-        backlog.record_remaining_slack(19_000, *part);
+/// Returns the slack of one queued item after items completed with these shares of their slack
+/// left.
+fn slack_after_completions(shares: &[f64]) -> i64 {
+    let mut backlog = completing_ten_per_second();
+    for share in shares {
+        backlog.record_remaining_slack(19_000, *share);
     }
-    slack(&mut backlog, &[20_000]).expect("one waits")
+    slack(&mut backlog, &[20_000]).expect("one item is queued")
 }
 
 #[test]
-fn items_keep_less_where_they_end_with_much_to_spare() {
-    let strict = slack_after_ends(&[]);
-    // 16 s of slack, of which 8 s stay unless items have ample.
-    assert!((7_800..=7_950).contains(&strict), "{strict}");
-    assert_eq!(slack_after_ends(&[0.0; 20]), strict);
-    assert_eq!(slack_after_ends(&[0.25; 20]), strict + 4_000);
-    assert_eq!(slack_after_ends(&[0.6; 20]), strict + 8_000);
-    // A job that ends late shows among many that don't.
+fn the_reserve_shrinks_if_items_complete_with_ample_slack() {
+    let full_reserve = slack_after_completions(&[]);
+    // Of 16 s of slack, 8 s are reserved unless items complete with ample slack.
+    assert!((7_800..=7_950).contains(&full_reserve), "{full_reserve}");
+    assert_eq!(slack_after_completions(&[0.0; 20]), full_reserve);
+    assert_eq!(slack_after_completions(&[0.25; 20]), full_reserve + 4_000);
+    assert_eq!(slack_after_completions(&[0.6; 20]), full_reserve + 8_000);
+    // A job whose items complete late shows among many items that don't.
     let mut mixed = vec![0.6; 40];
     mixed.extend([-0.2; 8]);
-    assert_eq!(slack_after_ends(&mixed), strict);
-    // A few ends say nothing, nor do old ones.
-    assert_eq!(slack_after_ends(&[0.6; 5]), strict);
-    let mut old = ten_a_second();
+    assert_eq!(slack_after_completions(&mixed), full_reserve);
+    // A few completions have no effect, nor do old ones.
+    assert_eq!(slack_after_completions(&[0.6; 5]), full_reserve);
+    let mut old = completing_ten_per_second();
     (0..20).for_each(|_| old.record_remaining_slack(1_000, 0.6));
-    assert_eq!(slack(&mut old, &[20_000]), Some(strict));
+    assert_eq!(slack(&mut old, &[20_000]), Some(full_reserve));
 }
 
 proptest! {
-    /// Less slack left at the ends never makes items give way more.
+    /// Less slack left on completion never allows more preemption.
     #[test]
-    fn tighter_ends_keep_more(parts in prop::collection::vec(-1.0_f64..1.0, 10..60), less in 0.0_f64..1.0) {
-        let tighter: Vec<f64> = parts.iter().map(|part| part - less).collect();
-        prop_assert!(slack_after_ends(&tighter) <= slack_after_ends(&parts));
+    fn less_remaining_slack_never_lowers_the_reserve(shares in prop::collection::vec(-1.0_f64..1.0, 10..60), less in 0.0_f64..1.0) {
+        let tighter: Vec<f64> = shares.iter().map(|share| share - less).collect();
+        prop_assert!(slack_after_completions(&tighter) <= slack_after_completions(&shares));
     }
 }
--- a/crates/pinerill-cluster/tests/connections.rs
+++ b/crates/pinerill-cluster/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections between control machines.
+//! Connections that control machines keep to each other.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,7 +11,8 @@
     ([10, 0, (number >> 8) as u8, number as u8], 7020).into()
 }
 
-/// What one of so many machines knows; the first ones are members, and the first leads.
+/// Returns what machine `own` of a fleet of `machines` knows. The first machines are the
+/// members, and machine 0 leads.
 fn machine(own: u32, machines: u32) -> KnownMachines {
     KnownMachines {
         own: address(own),
@@ -23,21 +24,21 @@
 }
 
 #[test]
-fn few_machines_are_connected_each_to_each() {
+fn a_small_fleet_is_fully_meshed() {
     for machines in [2, 5, MAX_FULL_MESH as u32] {
         for own in 0..machines {
-            let wanted = machine(own, machines).connection_targets(&[]);
+            let targets = machine(own, machines).connection_targets(&[]);
             let others: BTreeSet<SocketAddr> = (0..machines.max(MEMBERS))
                 .filter(|other| *other != own)
                 .map(address)
                 .collect();
-            assert_eq!(wanted, others);
+            assert_eq!(targets, others);
         }
     }
 }
 
 #[test]
-fn a_machine_keeps_no_more_connections_in_a_fleet_twice_as_large() {
+fn the_number_of_connections_does_not_grow_with_the_fleet() {
     let most = |machines| {
         let counts = (0..machines).map(|own| machine(own, machines).connection_targets(&[]).len());
         counts.max().unwrap_or(0)
@@ -46,42 +47,45 @@
     assert!(most(150) <= 16, "{}", most(150));
 }
 
-/// Others keep connections to a machine as well; none has to hold all of them but a member.
+/// Connections are also opened by other machines. Only members may receive one from every
+/// machine.
 #[test]
-fn a_machine_that_is_no_member_is_kept_connected_to_by_few() {
-    let mut kept = vec![0; 150];
+fn a_non_member_receives_few_connections() {
+    let mut incoming = vec![0; 150];
     for own in 0..150 {
-        let wanted = machine(own, 150).connection_targets(&[]);
-        for (number, count) in kept.iter_mut().enumerate() {
-            *count += usize::from(wanted.contains(&address(number as u32)));
+        let targets = machine(own, 150).connection_targets(&[]);
+        for (number, count) in incoming.iter_mut().enumerate() {
+            *count += usize::from(targets.contains(&address(number as u32)));
         }
     }
-    let most = kept[MEMBERS as usize..].iter().max();
+    let most = incoming[MEMBERS as usize..].iter().max();
     assert!(most <= Some(&14), "{most:?}");
-    assert!(kept[..MEMBERS as usize].iter().all(|count| *count >= 149));
+    assert!(incoming[..MEMBERS as usize]
+        .iter()
+        .all(|count| *count >= 149));
 }
 
 #[test]
-fn members_are_connected_each_to_each_whatever_their_number() {
+fn members_are_fully_meshed_in_a_large_fleet() {
     for own in 0..MEMBERS {
-        let wanted = machine(own, 150).connection_targets(&[]);
+        let targets = machine(own, 150).connection_targets(&[]);
         for other in (0..MEMBERS).filter(|other| *other != own) {
-            assert!(wanted.contains(&address(other)));
+            assert!(targets.contains(&address(other)));
         }
     }
 }
 
-/// Its seeds may be no members, and its state may name none.
+/// The machine's seeds may not be members, and its state may name no members at all.
 #[test]
-fn a_machine_that_knows_no_leader_tries_more_of_the_others() {
-    let mut lost = machine(100, 150);
-    lost.leader = None;
-    lost.members = Vec::new();
-    lost.seeds = vec![address(50)];
+fn a_machine_without_a_known_leader_also_connects_to_random_machines() {
+    let mut machine_without_leader = machine(100, 150);
+    machine_without_leader.leader = None;
+    machine_without_leader.members = Vec::new();
+    machine_without_leader.seeds = vec![address(50)];
     let random = [address(4), address(70)];
-    let wanted = lost.connection_targets(&random);
-    assert!(random.iter().all(|one| wanted.contains(one)));
-    lost.leader = Some(address(4));
-    let wanted = lost.connection_targets(&random);
-    assert!(wanted.contains(&address(4)) && wanted.len() <= 8);
+    let targets = machine_without_leader.connection_targets(&random);
+    assert!(random.iter().all(|one| targets.contains(one)));
+    machine_without_leader.leader = Some(address(4));
+    let targets = machine_without_leader.connection_targets(&random);
+    assert!(targets.contains(&address(4)) && targets.len() <= 8);
 }
--- a/crates/pinerill-cluster/tests/leases.rs
+++ b/crates/pinerill-cluster/tests/leases.rs
@@ -1,4 +1,4 @@
-//! Which node runs which item.
+//! Assignment of items to nodes by leases.
 
 use pinerill_calls::job::{CallJobId, ItemRef, NewCallItem, NewCallJob};
 use pinerill_calls::message::encode;
@@ -10,12 +10,12 @@
     duration_ms: 3_000,
     reclaim_ms: 1_500,
 };
-/// A time at which a leadership that began at 0 hands items out.
-const READY: u64 = 1_500;
+/// Time at which a leadership that began at 0 starts to grant leases.
+const RECLAIM_END: u64 = 1_500;
 
-struct NoTable;
+struct NullTable;
 
-impl TableWriter for NoTable {
+impl TableWriter for NullTable {
     fn put(&mut self, _key: &[u8], _value: &[u8]) {}
     fn delete(&mut self, _key: &[u8]) {}
 }
@@ -25,7 +25,7 @@
         elapsed_ms,
         command,
     });
-    let applied = machine.apply(1, &bytes, &mut NoTable);
+    let applied = machine.apply(1, &bytes, &mut NullTable);
     assert!(applied.is_ok(), "{applied:?}");
 }
 
@@ -77,77 +77,77 @@
 
     fn lease(&mut self, now: u64, node: &str, held: &[ItemRef], want: usize) -> (Vec<u32>, usize) {
         let clock = self.machine.clock_ms();
-        let ask = LeaseArgs {
+        let request = LeaseArgs {
             node,
             held,
             want,
             run_ms: 0,
         };
-        let decision = self.book.lease(now, self.machine.jobs(), clock, &ask);
-        let leased = decision.leased.iter().map(|place| place.index);
+        let decision = self.book.lease(now, self.machine.jobs(), clock, &request);
+        let leased = decision.leased.iter().map(|position| position.index);
         (leased.collect(), decision.stop.len())
     }
 }
 
 #[test]
-fn an_item_is_at_one_node_at_a_time() {
+fn an_item_is_leased_to_one_node_at_a_time() {
     let mut leader = Leader::with_job(3);
-    assert_eq!(leader.lease(READY, "x", &[], 2).0, [0, 1]);
-    assert_eq!(leader.lease(READY, "y", &[], 2).0, [2]);
-    assert_eq!(leader.lease(READY, "z", &[], 1).0, [0u32; 0]);
+    assert_eq!(leader.lease(RECLAIM_END, "x", &[], 2).0, [0, 1]);
+    assert_eq!(leader.lease(RECLAIM_END, "y", &[], 2).0, [2]);
+    assert_eq!(leader.lease(RECLAIM_END, "z", &[], 1).0, [0u32; 0]);
 }
 
 #[test]
-fn a_lease_that_is_not_renewed_runs_out() {
+fn a_lease_that_is_not_renewed_expires() {
     let mut leader = Leader::with_job(1);
-    leader.lease(READY, "x", &[], 1);
-    let almost = READY + SETTINGS.duration_ms - 1;
+    leader.lease(RECLAIM_END, "x", &[], 1);
+    let almost = RECLAIM_END + SETTINGS.duration_ms - 1;
     assert_eq!(leader.lease(almost, "y", &[], 1).0, [0u32; 0]);
     assert_eq!(leader.lease(almost + 1, "y", &[], 1).0, [0]);
-    // The first node is told to stop when it comes back.
+    // The first node must stop the item when it returns.
     assert_eq!(leader.lease(almost + 2, "x", &[reference("a", 0)], 0).1, 1);
 }
 
 #[test]
-fn a_renewed_lease_goes_on() {
+fn a_renewed_lease_stays_with_its_node() {
     let mut leader = Leader::with_job(1);
-    leader.lease(READY, "x", &[], 1);
+    leader.lease(RECLAIM_END, "x", &[], 1);
     let held = [reference("a", 0)];
-    for now in (READY..READY + 20_000).step_by(1_000) {
+    for now in (RECLAIM_END..RECLAIM_END + 20_000).step_by(1_000) {
         assert_eq!(leader.lease(now, "x", &held, 0).1, 0);
         assert_eq!(leader.lease(now, "y", &[], 1).0, [0u32; 0]);
     }
 }
 
 #[test]
-fn an_answer_that_was_lost_frees_its_items() {
+fn items_of_a_lost_answer_are_leased_again() {
     let mut leader = Leader::with_job(1);
-    leader.lease(READY, "x", &[], 1);
-    assert_eq!(leader.lease(READY + 100, "x", &[], 1).0, [0]);
+    leader.lease(RECLAIM_END, "x", &[], 1);
+    assert_eq!(leader.lease(RECLAIM_END + 100, "x", &[], 1).0, [0]);
 }
 
 #[test]
-fn a_new_leader_hands_nothing_out_before_nodes_named_what_they_hold() {
+fn a_new_leader_grants_no_leases_before_the_reclaim_period_ends() {
     let mut leader = Leader::with_job(2);
     assert_eq!(leader.lease(0, "y", &[], 2).0, [0u32; 0]);
     assert_eq!(leader.lease(1_000, "x", &[reference("a", 0)], 0).1, 0);
-    assert_eq!(leader.lease(READY, "y", &[], 2).0, [1]);
+    assert_eq!(leader.lease(RECLAIM_END, "y", &[], 2).0, [1]);
 }
 
 #[test]
-fn an_item_that_ended_is_to_be_stopped() {
+fn a_node_must_stop_items_of_an_ended_job() {
     let mut leader = Leader::with_job(1);
-    leader.lease(READY, "x", &[], 1);
+    leader.lease(RECLAIM_END, "x", &[], 1);
     apply(
         &mut leader.machine,
         0,
         Command::EndJob(CallJobId::new(None, "a")),
     );
-    assert_eq!(leader.lease(READY, "x", &[reference("a", 0)], 0).1, 1);
+    assert_eq!(leader.lease(RECLAIM_END, "x", &[reference("a", 0)], 0).1, 1);
 }
 
-/// Jobs in the order in which their items are handed out at 2,000 ms, if an item
-/// runs for `run_ms`.
+/// Returns the jobs in the order in which their items are leased at 2,000 ms if an item runs
+/// for `run_ms`.
 fn order_of_jobs(targets_ms: &[(&str, u64)], run_ms: u64) -> Vec<String> {
     let mut machine = ClusterMachine::default();
     for (id, target_ms) in targets_ms {
@@ -156,15 +156,15 @@
     let retention_ms = 600_000;
     apply(&mut machine, 2_000, Command::Upkeep { retention_ms });
     let mut book = LeaseBook::new(SETTINGS, 0);
-    let ask = LeaseArgs {
+    let request = LeaseArgs {
         node: "x",
         held: &[],
         want: targets_ms.len(),
         run_ms,
     };
-    let decision = book.lease(READY, machine.jobs(), machine.clock_ms(), &ask);
-    let job = |place: &QueuePosition| {
-        let record = machine.jobs().record(place.job)?;
+    let decision = book.lease(RECLAIM_END, machine.jobs(), machine.clock_ms(), &request);
+    let job = |position: &QueuePosition| {
+        let record = machine.jobs().record(position.job)?;
         Some(record.id.name().to_owned())
     };
     decision.leased.iter().filter_map(job).collect()
@@ -177,30 +177,32 @@
 }
 
 #[test]
-fn an_item_that_will_be_late_however_soon_it_begins_gives_way() {
+fn items_that_cannot_be_on_time_come_last() {
     let targets = [("late", 1_000), ("soon", 5_000), ("later", 9_000)];
     assert_eq!(order_of_jobs(&targets, 4_000), ["later", "late", "soon"]);
 }
 
-/// Items of the most urgent job stay for nodes that may run them, and hold up no others.
+/// Items of the most urgent job stay queued for eligible nodes and don't block items of other
+/// jobs.
 #[test]
-fn items_go_only_to_nodes_at_which_their_job_may_run() {
+fn items_are_leased_only_to_nodes_eligible_for_their_job() {
     let mut leader = Leader::with_job(2);
     submit(&mut leader.machine, "b", 2, 30_000);
     let clock = leader.machine.clock_ms();
-    let ask = LeaseArgs {
+    let request = LeaseArgs {
         node: "away",
         held: &[],
         want: 4,
         run_ms: 0,
     };
-    let elsewhere = CallJobId::new(None, "a");
+    let excluded = CallJobId::new(None, "a");
     let (book, jobs) = (&mut leader.book, leader.machine.jobs());
-    let away = book.lease_where(READY, jobs, clock, &ask, |job| job.id != elsewhere);
-    let at_home = book.lease_where(READY, jobs, clock, &ask, |_| true);
-    let of_job = |place: &QueuePosition| jobs.record(place.job).map(|record| record.id.clone());
-    let leased: Vec<_> = away.leased.iter().filter_map(of_job).collect();
+    let restricted = book.lease_where(RECLAIM_END, jobs, clock, &request, |job| job.id != excluded);
+    let unrestricted = book.lease_where(RECLAIM_END, jobs, clock, &request, |_| true);
+    let of_job =
+        |position: &QueuePosition| jobs.record(position.job).map(|record| record.id.clone());
+    let leased: Vec<_> = restricted.leased.iter().filter_map(of_job).collect();
     assert_eq!(leased, vec![CallJobId::new(None, "b"); 2]);
-    let leased: Vec<_> = at_home.leased.iter().filter_map(of_job).collect();
-    assert_eq!(&leased[..2], vec![elsewhere; 2]);
+    let leased: Vec<_> = unrestricted.leased.iter().filter_map(of_job).collect();
+    assert_eq!(&leased[..2], vec![excluded; 2]);
 }
--- a/crates/pinerill-cluster/tests/list_pace.rs
+++ b/crates/pinerill-cluster/tests/list_pace.rs
@@ -1,4 +1,4 @@
-//! How often the leader reads the platform list.
+//! Bounds of the interval at which the leader polls the platform list.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 };
 
 #[test]
-fn a_short_list_is_read_once_a_second() {
+fn a_short_list_is_polled_once_a_second() {
     assert_eq!(reading_interval(3, 44.0, BOUNDS), BOUNDS.shortest);
     assert_eq!(reading_interval(0, 44.0, BOUNDS), BOUNDS.shortest);
 }
 
 #[test]
-fn a_long_list_takes_a_fifth_of_the_rate() {
+fn a_long_list_uses_a_fifth_of_the_call_rate() {
     let interval = reading_interval(200, 430.0, BOUNDS);
     let calls_per_s = 200.0 / interval.as_secs_f64();
     assert!(
@@ -26,6 +26,6 @@
 }
 
 #[test]
-fn what_nodes_know_does_not_run_out_between_two_readings() {
+fn the_poll_interval_never_exceeds_its_upper_bound() {
     assert_eq!(reading_interval(400, 430.0, BOUNDS), BOUNDS.longest);
 }
--- a/crates/pinerill-cluster/tests/machine.rs
+++ b/crates/pinerill-cluster/tests/machine.rs
@@ -1,4 +1,4 @@
-//! The replicated state machine: configuration, jobs, control machines.
+//! Replicated state machine: route table, jobs and control machines.
 
 mod support;
 
@@ -40,7 +40,7 @@
         self.apply_after(0, command)
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         for _ in 0..ms / 1_000 {
             let retention_ms = 120_000;
             self.apply_after(1_000, Command::Upkeep { retention_ms });
@@ -48,10 +48,10 @@
     }
 
     fn submit(&mut self, id: &str, items: usize) -> Applied {
-        self.submit_into(id, items, None)
+        self.submit_with_limit(id, items, None)
     }
 
-    fn submit_into(&mut self, id: &str, items: usize, room_bytes: Option<u64>) -> Applied {
+    fn submit_with_limit(&mut self, id: &str, items: usize, room_bytes: Option<u64>) -> Applied {
         let job = Box::new(job(id, items));
         self.apply(Command::SubmitJob { job, room_bytes })
     }
@@ -75,7 +75,7 @@
     }
 }
 
-/// A job of a caller without a tenant.
+/// Returns the identifier of a job whose caller has no tenant.
 fn job_id(name: &str) -> CallJobId {
     CallJobId::new(None, name)
 }
@@ -104,7 +104,7 @@
     ItemEnd::Completed(text.to_vec())
 }
 
-fn table_of(version: u64, document: &str) -> Command {
+fn put_table(version: u64, document: &str) -> Command {
     Command::PutTable(Box::new(PutTable {
         table: RouteTable {
             version,
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_job_sent_again_is_the_same_job() {
+fn a_resubmitted_job_is_not_duplicated() {
     let mut group = Group::default();
     let accepted = Applied::Submitted(SubmitOutcome::Accepted);
     assert_eq!(group.submit("a", 8), accepted);
@@ -128,32 +128,32 @@
 }
 
 #[test]
-fn a_job_that_does_not_fit_leaves_nothing_behind() {
+fn a_job_over_the_token_limit_leaves_no_state() {
     let mut group = Group::default();
     group.submit("a", 8);
-    let refused = Applied::Submitted(SubmitOutcome::OverLimit);
-    assert_eq!(group.submit("b", 3), refused);
+    let rejected = Applied::Submitted(SubmitOutcome::OverLimit);
+    assert_eq!(group.submit("b", 3), rejected);
     assert!(group.machine.jobs().find(&job_id("b")).is_none());
     assert_eq!(group.machine.jobs().queue().len(), 8);
 }
 
 #[test]
-fn a_job_for_which_the_disk_has_no_room_leaves_nothing_behind() {
+fn a_job_without_disk_space_leaves_no_state() {
     let mut group = Group::default();
-    let room = Some(60_000);
+    let room_bytes = Some(60_000);
     let accepted = Applied::Submitted(SubmitOutcome::Accepted);
-    assert_eq!(group.submit_into("a", 5, room), accepted);
-    let taken = group.machine.jobs().store_usage().clone();
-    let refused = Applied::Submitted(SubmitOutcome::NoRoom);
-    assert_eq!(group.submit_into("b", 5, room), refused);
+    assert_eq!(group.submit_with_limit("a", 5, room_bytes), accepted);
+    let usage_before = group.machine.jobs().store_usage().clone();
+    let rejected = Applied::Submitted(SubmitOutcome::NoRoom);
+    assert_eq!(group.submit_with_limit("b", 5, room_bytes), rejected);
     assert!(group.machine.jobs().find(&job_id("b")).is_none());
-    assert_eq!(group.machine.jobs().store_usage(), &taken);
+    assert_eq!(group.machine.jobs().store_usage(), &usage_before);
     assert_eq!(group.table.0.len(), 5);
-    assert_eq!(group.submit_into("a", 5, room), accepted);
+    assert_eq!(group.submit_with_limit("a", 5, room_bytes), accepted);
 }
 
 #[test]
-fn texts_that_are_known_decide_how_much_room_waiting_items_need() {
+fn expected_space_follows_the_mean_size_of_stored_texts() {
     let mut group = Group::default();
     group.submit("a", 4);
     let expected = |group: &Group| {
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn all_room_comes_back_once_jobs_are_forgotten() {
+fn all_space_is_released_once_jobs_are_deleted() {
     let mut group = Group::default();
     group.submit("a", 3);
     group.report("a", 0, completed(&[7; 5_000]));
@@ -176,13 +176,13 @@
     group.submit("b", 2);
     group.apply(Command::EndJob(job_id("b")));
     assert!(group.machine.jobs().store_usage().stored_bytes() > 5_000);
-    group.pass(GIVE_UP_MS + 200_000);
+    group.advance(GIVE_UP_MS + 200_000);
     assert!(group.machine.jobs().is_empty());
     assert_eq!(group.machine.jobs().store_usage().stored_bytes(), 0);
 }
 
 #[test]
-fn finished_items_make_room() {
+fn completed_items_free_space_in_the_token_limit() {
     let mut group = Group::default();
     group.submit("a", 8);
     group.report("a", 0, completed(b"x"));
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn the_first_end_of_an_item_counts_and_keeps_its_place() {
+fn the_first_result_of_an_item_counts_and_keeps_its_position() {
     let mut group = Group::default();
     group.submit("a", 2);
     group.report("a", 1, completed(b"first"));
@@ -217,9 +217,9 @@
     assert_eq!(group.listed("a"), [(0, ListedState::Dead)]);
 }
 
-/// A node that hears no answer sends its report again, and both may be taken.
+/// A node that receives no answer repeats its report, and both reports may be applied.
 #[test]
-fn a_failure_that_is_reported_again_counts_once() {
+fn a_repeated_failure_report_counts_once() {
     let mut group = Group::default();
     group.submit("a", 1);
     for _ in 0..4 {
@@ -232,17 +232,17 @@
 }
 
 #[test]
-fn an_item_is_given_up_after_its_time_and_not_before() {
+fn an_item_is_given_up_after_its_time_limit_and_not_before() {
     let mut group = Group::default();
     group.submit("a", 1);
-    group.pass(GIVE_UP_MS);
+    group.advance(GIVE_UP_MS);
     assert_eq!(group.listed("a"), []);
-    group.pass(1_000);
+    group.advance(1_000);
     assert_eq!(group.listed("a"), [(0, ListedState::Dead)]);
 }
 
 #[test]
-fn a_leader_that_was_frozen_makes_nothing_late_at_once() {
+fn a_suspended_leader_does_not_expire_items_at_once() {
     let mut group = Group::default();
     group.submit("a", 1);
     let retention_ms = 120_000;
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn an_ended_job_keeps_its_results_and_runs_no_more() {
+fn an_ended_job_keeps_its_results_and_accepts_no_new_ones() {
     let mut group = Group::default();
     group.submit("a", 3);
     group.report("a", 2, completed(b"x"));
@@ -266,24 +266,24 @@
 }
 
 #[test]
-fn a_finished_job_is_forgotten_after_its_time_and_an_open_one_is_not() {
+fn a_finished_job_is_deleted_after_its_retention_and_not_before() {
     let mut group = Group::default();
     group.submit("open", 1);
     group.machine.jobs();
     group.submit("done", 1);
     group.report("done", 0, completed(b"x"));
-    group.pass(GIVE_UP_MS);
+    group.advance(GIVE_UP_MS);
     assert!(group.machine.jobs().find(&job_id("done")).is_some());
-    group.pass(61_000);
+    group.advance(61_000);
     assert!(group.machine.jobs().find(&job_id("done")).is_none());
     assert!(!group.table.0.contains_key(&text_key(1, 0)));
 }
 
 #[test]
-fn the_highest_version_is_in_force_whatever_comes_later() {
+fn the_highest_table_version_stays_in_force() {
     let mut group = Group::default();
     for (version, document) in [(5, "five"), (3, "three"), (5, "other five"), (7, "seven")] {
-        assert_eq!(group.apply(table_of(version, document)), Applied::Done);
+        assert_eq!(group.apply(put_table(version, document)), Applied::Done);
         let held = group.machine.table().expect("a table");
         let expected: &[u8] = if version == 7 { b"seven" } else { b"five" };
         assert_eq!(held.document, expected);
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn a_machine_with_another_folder_takes_the_place_of_its_former_self() {
+fn a_machine_with_a_new_data_folder_replaces_its_old_identity() {
     let record = |replica: u64, name: &str, port: u16| MachineRecord {
         replica,
         name: name.to_owned(),
@@ -305,16 +305,16 @@
     let known: Vec<u64> = group.machine.machines().keys().copied().collect();
     assert_eq!(known, [2, 3]);
     assert!(group.machine.replaced().contains(&1));
-    // What its former self still says on its way changes nothing.
+    // A delayed message of the old identity changes nothing.
     group.apply(Command::RecordMachine(record(1, "a", 1)));
     let known: Vec<u64> = group.machine.machines().keys().copied().collect();
     assert_eq!(known, [2, 3]);
 }
 
 #[test]
-fn a_snapshot_brings_everything_back() {
+fn a_snapshot_restores_the_whole_state() {
     let mut group = Group::default();
-    group.apply(table_of(5, "five"));
+    group.apply(put_table(5, "five"));
     group.submit("a", 3);
     group.report("a", 1, completed(b"x"));
     let mut restored = ClusterMachine::default();
@@ -326,21 +326,21 @@
 }
 
 #[test]
-fn a_command_that_cannot_be_read_is_not_skipped() {
+fn an_unreadable_command_is_an_error_and_changes_nothing() {
     let mut group = Group::default();
     group.submit("a", 1);
     let before = group.machine.snapshot();
-    let sound = encode(&StampedCommand {
+    let readable = encode(&StampedCommand {
         elapsed_ms: 1,
         command: Command::EndJob(job_id("a")),
     });
-    let of_format = |byte: u8| [&[byte], &sound[1..]].concat();
+    let of_format = |byte: u8| [&[byte], &readable[1..]].concat();
     let unreadable = [
         Vec::new(),
         of_format(3),
         of_format(9),
         of_format(200),
-        sound[..sound.len() - 1].to_vec(),
+        readable[..readable.len() - 1].to_vec(),
     ];
     for bytes in unreadable {
         let applied = group.machine.apply(2, &bytes, &mut group.table);
@@ -350,7 +350,7 @@
 }
 
 #[test]
-fn a_snapshot_of_another_layout_is_refused() {
+fn a_snapshot_of_an_unknown_format_is_rejected() {
     let mut bytes = ClusterMachine::default().snapshot();
     assert!(ClusterMachine::default().restore(&bytes).is_ok());
     for byte in [0, 3, 9] {
--- a/crates/pinerill-cluster/tests/membership.rs
+++ b/crates/pinerill-cluster/tests/membership.rs
@@ -1,4 +1,4 @@
-//! How the group follows machines that come and go.
+//! Changes of the replicated group as machines join and leave.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,9 +16,9 @@
     present_ms: 1_500,
 };
 
-/// A group as its leader, machine 1, sees it.
+/// State of a group as seen by its leader, machine 1.
 #[derive(Debug, Clone)]
-struct World {
+struct TestGroup {
     members: Membership,
     machines: BTreeMap<u64, MachineRecord>,
     replaced: BTreeSet<u64>,
@@ -27,9 +27,9 @@
     settings: MembershipSettings,
 }
 
-impl World {
+impl TestGroup {
     fn new(machines: u64) -> Self {
-        let mut world = World {
+        let mut group = TestGroup {
             members: Membership::of_voters((1..=3).map(ReplicaId)),
             machines: BTreeMap::new(),
             replaced: BTreeSet::new(),
@@ -38,12 +38,12 @@
             settings: SETTINGS,
         };
         for replica in 1..=machines {
-            world.come(replica, &format!("m{replica}"));
+            group.add_machine(replica, &format!("m{replica}"));
         }
-        world
+        group
     }
 
-    fn come(&mut self, replica: u64, name: &str) {
+    fn add_machine(&mut self, replica: u64, name: &str) {
         let record = MachineRecord {
             replica,
             name: name.to_owned(),
@@ -54,9 +54,9 @@
         self.silent_ms.insert(replica, 0);
     }
 
-    fn look<R>(&self, look: impl FnOnce(&MembershipView<'_>) -> R) -> R {
+    fn with_view<R>(&self, read: impl FnOnce(&MembershipView<'_>) -> R) -> R {
         let caught_up = self.members.replicas().map(|one| one.0).collect();
-        look(&MembershipView {
+        read(&MembershipView {
             own: ReplicaId(1),
             members: &self.members,
             settled: true,
@@ -70,16 +70,16 @@
         })
     }
 
-    /// Carries steps out until there is none; returns them.
-    fn settle(&mut self) -> Vec<MembershipStep> {
+    /// Carries out steps until none is left or leadership is transferred; returns them.
+    fn run_steps(&mut self) -> Vec<MembershipStep> {
         let mut steps = Vec::new();
-        while let Some(step) = self.look(next_step) {
+        while let Some(step) = self.with_view(next_step) {
             steps.push(step);
             let MembershipStep::Change(change) = step else {
                 break;
             };
             self.members = self.members.with_change(change).expect("allowed");
-            assert!(steps.len() < 20, "no end: {steps:?}");
+            assert!(steps.len() < 20, "steps do not terminate: {steps:?}");
         }
         steps
     }
@@ -90,145 +90,149 @@
 }
 
 #[test]
-fn a_complete_group_is_left_alone() {
-    assert_eq!(World::new(4).settle(), []);
+fn a_complete_group_needs_no_steps() {
+    assert_eq!(TestGroup::new(4).run_steps(), []);
 }
 
 #[test]
 fn a_machine_that_lost_its_disk_votes_again_under_its_new_identity() {
-    let mut world = World::new(3);
-    world.machines.remove(&3);
-    world.replaced.insert(3);
-    world.come(9, "m3");
-    let steps = world.settle();
+    let mut group = TestGroup::new(3);
+    group.machines.remove(&3);
+    group.replaced.insert(3);
+    group.add_machine(9, "m3");
+    let steps = group.run_steps();
     let expected = [
         MembershipChange::AddLearner(ReplicaId(9)),
         MembershipChange::Promote(ReplicaId(9)),
         MembershipChange::Remove(ReplicaId(3)),
     ];
     assert_eq!(steps, expected.map(MembershipStep::Change));
-    assert_eq!(world.voters(), [1, 2, 9]);
+    assert_eq!(group.voters(), [1, 2, 9]);
 }
 
-/// While a lost disk is replaced, which takes as long as a whole state needs to be
-/// sent, as many losses again must be borne.
+/// Replacing a lost disk takes as long as sending the whole state. During that time a larger
+/// group still tolerates further failures.
 #[test]
-fn a_group_has_voters_for_losses_during_a_replacement_where_there_are_machines() {
+fn a_group_grows_to_the_largest_odd_number_of_voters_allowed() {
     let voters_among = |machines: u64| {
-        let mut world = World::new(machines);
-        world.settings.max_voters = 5;
-        world.settle();
-        world.voters().len()
+        let mut group = TestGroup::new(machines);
+        group.settings.max_voters = 5;
+        group.run_steps();
+        group.voters().len()
     };
     assert_eq!(voters_among(3), 3);
-    assert_eq!(voters_among(4), 3, "a fourth one bears no further loss");
+    assert_eq!(
+        voters_among(4),
+        3,
+        "a fourth voter tolerates no further failure"
+    );
     assert_eq!(voters_among(5), 5);
     assert_eq!(voters_among(9), 5);
 }
 
 #[test]
-fn a_group_shrinks_to_what_it_needs_as_machines_retire() {
-    let mut world = World::new(5);
-    world.settings.max_voters = 5;
-    world.settle();
-    world.retiring.insert(2);
-    world.settle();
-    assert_eq!(world.voters().len(), 3);
-    assert!(world.look(|view| is_drained(view, ReplicaId(2))));
-    assert!(world.look(|view| may_retire(view, ReplicaId(3))));
+fn a_group_shrinks_to_its_minimum_as_machines_retire() {
+    let mut group = TestGroup::new(5);
+    group.settings.max_voters = 5;
+    group.run_steps();
+    group.retiring.insert(2);
+    group.run_steps();
+    assert_eq!(group.voters().len(), 3);
+    assert!(group.with_view(|view| is_drained(view, ReplicaId(2))));
+    assert!(group.with_view(|view| may_retire(view, ReplicaId(3))));
 }
 
 #[test]
-fn a_lost_machine_is_replaced_only_if_another_one_is_there() {
-    let mut alone = World::new(3);
-    alone.silent_ms.insert(3, 60_000);
-    assert_eq!(alone.settle(), []);
-    let mut spare = World::new(4);
-    spare.silent_ms.insert(3, 60_000);
-    spare.settle();
-    assert_eq!(spare.voters(), [1, 2, 4]);
+fn a_lost_machine_is_replaced_only_if_another_one_is_available() {
+    let mut without_spare = TestGroup::new(3);
+    without_spare.silent_ms.insert(3, 60_000);
+    assert_eq!(without_spare.run_steps(), []);
+    let mut with_spare = TestGroup::new(4);
+    with_spare.silent_ms.insert(3, 60_000);
+    with_spare.run_steps();
+    assert_eq!(with_spare.voters(), [1, 2, 4]);
 }
 
-/// Machines that went for good stay recorded. They must neither vote nor count as
-/// machines for which the group grows: a voter that is gone takes part of the quorum.
+/// Records of lost machines are kept. These machines must neither vote nor count towards the
+/// size of the group: a lost voter counts towards the quorum without contributing to it.
 #[test]
-fn machines_that_are_gone_do_not_make_a_group_larger() {
-    let mut world = World::new(5);
-    world.settings.max_voters = 5;
-    world.silent_ms.insert(2, 60_000);
-    world.silent_ms.insert(3, 60_000);
-    world.settle();
-    assert_eq!(world.voters(), [1, 4, 5]);
+fn lost_machines_do_not_raise_the_number_of_voters() {
+    let mut group = TestGroup::new(5);
+    group.settings.max_voters = 5;
+    group.silent_ms.insert(2, 60_000);
+    group.silent_ms.insert(3, 60_000);
+    group.run_steps();
+    assert_eq!(group.voters(), [1, 4, 5]);
 }
 
 #[test]
 fn a_short_silence_changes_nothing() {
-    let mut world = World::new(4);
-    world.silent_ms.insert(3, SETTINGS.lost_after_ms);
-    assert_eq!(world.settle(), []);
+    let mut group = TestGroup::new(4);
+    group.silent_ms.insert(3, SETTINGS.lost_after_ms);
+    assert_eq!(group.run_steps(), []);
 }
 
 #[test]
-fn a_retired_machine_leaves_once_another_votes_in_its_place() {
-    let mut world = World::new(4);
-    world.retiring.insert(2);
-    assert!(!world.look(|view| is_drained(view, ReplicaId(2))));
-    world.settle();
-    assert_eq!(world.voters(), [1, 3, 4]);
-    assert!(world.look(|view| is_drained(view, ReplicaId(2))));
+fn a_retiring_machine_is_removed_once_its_replacement_votes() {
+    let mut group = TestGroup::new(4);
+    group.retiring.insert(2);
+    assert!(!group.with_view(|view| is_drained(view, ReplicaId(2))));
+    group.run_steps();
+    assert_eq!(group.voters(), [1, 3, 4]);
+    assert!(group.with_view(|view| is_drained(view, ReplicaId(2))));
 }
 
 #[test]
-fn a_leader_that_retires_hands_over_first() {
-    let mut world = World::new(4);
-    world.retiring.insert(1);
-    let steps = world.settle();
+fn a_retiring_leader_transfers_leadership_first() {
+    let mut group = TestGroup::new(4);
+    group.retiring.insert(1);
+    let steps = group.run_steps();
     assert!(matches!(steps.last(), Some(MembershipStep::HandOver(to)) if to.0 != 1));
     assert!(
-        world.voters().contains(&1),
-        "it is removed by its successor"
+        group.voters().contains(&1),
+        "the successor removes the old leader"
     );
 }
 
 #[test]
-fn no_machine_may_retire_if_too_few_would_be_left() {
-    assert!(!World::new(3).look(|view| may_retire(view, ReplicaId(2))));
-    assert!(World::new(4).look(|view| may_retire(view, ReplicaId(2))));
-    let mut silent = World::new(4);
+fn a_machine_may_not_retire_if_too_few_would_remain() {
+    assert!(!TestGroup::new(3).with_view(|view| may_retire(view, ReplicaId(2))));
+    assert!(TestGroup::new(4).with_view(|view| may_retire(view, ReplicaId(2))));
+    let mut silent = TestGroup::new(4);
     silent.silent_ms.insert(4, 10_000);
-    assert!(!silent.look(|view| may_retire(view, ReplicaId(2))));
+    assert!(!silent.with_view(|view| may_retire(view, ReplicaId(2))));
 }
 
 proptest! {
-    /// Whatever comes and goes: the steps end, a step never leaves fewer
-    /// voters than wanted if there were as many, and replaced folders end up
-    /// without a vote wherever enough machines are there.
+    /// For any set of lost and replaced machines, the steps terminate, the number of voters
+    /// does not drop below the smaller of its initial value and the minimum, and lost or
+    /// replaced machines have no vote in the end if enough machines are present.
     #[test]
-    fn steps_end_and_keep_the_number_of_voters(
+    fn steps_terminate_and_keep_the_minimum_of_voters(
         machines in 3u64..7,
         lost in proptest::collection::btree_set(2u64..7, 0..3),
         replaced in proptest::collection::btree_set(2u64..4, 0..2),
         most_voters in 3usize..8,
     ) {
-        let mut world = World::new(machines);
-        world.settings.max_voters = most_voters;
+        let mut group = TestGroup::new(machines);
+        group.settings.max_voters = most_voters;
         for replica in lost.iter().filter(|one| **one <= machines) {
-            world.silent_ms.insert(*replica, 60_000);
+            group.silent_ms.insert(*replica, 60_000);
         }
         for replica in &replaced {
-            world.machines.remove(replica);
-            world.replaced.insert(*replica);
-            world.come(100 + replica, &format!("m{replica}"));
+            group.machines.remove(replica);
+            group.replaced.insert(*replica);
+            group.add_machine(100 + replica, &format!("m{replica}"));
         }
-        let before = world.members.voters.len();
-        world.settle();
-        prop_assert!(world.members.voters.len() >= before.min(SETTINGS.min_voters));
-        let present = world.machines.keys().filter(|one| {
-            world.silent_ms.get(one).is_some_and(|ms| *ms <= SETTINGS.present_ms)
+        let before = group.members.voters.len();
+        group.run_steps();
+        prop_assert!(group.members.voters.len() >= before.min(SETTINGS.min_voters));
+        let present = group.machines.keys().filter(|one| {
+            group.silent_ms.get(one).is_some_and(|ms| *ms <= SETTINGS.present_ms)
         });
         if present.count() >= SETTINGS.min_voters {
             for replica in replaced.iter().chain(&lost) {
-                prop_assert!(!world.voters().contains(replica));
+                prop_assert!(!group.voters().contains(replica));
             }
         }
     }
--- a/crates/pinerill-cluster/tests/stored_formats.rs
+++ b/crates/pinerill-cluster/tests/stored_formats.rs
@@ -1,4 +1,5 @@
-//! State that builds of each format have stored: the bytes were written by those builds.
+//! Compatibility with state stored by builds of each format. The golden bytes were written by
+//! those builds.
 
 mod support;
 
@@ -11,7 +12,7 @@
 use support::golden::{self, Golden};
 use support::Table;
 
-fn assert_whole(golden: &Golden, machine: &ClusterMachine) {
+fn assert_complete(golden: &Golden, machine: &ClusterMachine) {
     let format = golden.format;
     let held = machine.table().expect("a table");
     assert_eq!(held.table.version, 7, "format {format}");
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn commands_that_another_build_wrote_are_not_lost() {
+fn commands_written_by_other_builds_are_applied() {
     for golden in golden::all() {
         let mut machine = ClusterMachine::default();
         for (index, command) in golden.of("command").enumerate() {
@@ -55,23 +56,23 @@
                 &mut Table::default(),
             );
         }
-        assert_whole(&golden, &machine);
+        assert_complete(&golden, &machine);
     }
 }
 
 #[test]
-fn a_snapshot_that_another_build_wrote_does_not_end_the_process() {
+fn snapshots_written_by_other_builds_are_restored() {
     for golden in golden::all() {
         let snapshot = golden.of("snapshot").next().expect("a snapshot");
         let mut machine = ClusterMachine::default();
         let restored = machine.restore(snapshot);
         assert!(restored.is_ok(), "format {}: {restored:?}", golden.format);
-        assert_whole(&golden, &machine);
+        assert_complete(&golden, &machine);
     }
 }
 
 #[test]
-fn nothing_is_rewritten_in_another_format_than_the_one_in_force() {
+fn snapshots_are_written_in_the_format_in_force() {
     for golden in golden::all() {
         let snapshot = golden.of("snapshot").next().expect("a snapshot");
         let mut machine = ClusterMachine::default();
@@ -84,12 +85,12 @@
         }
         let mut restored = ClusterMachine::default();
         restored.restore(&again).expect("a snapshot");
-        assert_whole(&golden, &restored);
+        assert_complete(&golden, &restored);
     }
 }
 
 #[test]
-fn commands_are_written_as_the_build_of_that_format_writes_them() {
+fn commands_are_written_exactly_as_builds_of_their_format_write_them() {
     for golden in golden::all() {
         for bytes in golden.of("command") {
             let (format, command) = read_command(bytes).expect("a command");
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn the_newest_format_seen_stays_in_force() {
+fn the_newest_applied_format_stays_in_force() {
     let all = golden::all();
     let first = |format: usize| all[format - 4].of("command").next().expect("a command");
     let mut machine = ClusterMachine::default();
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn orders_about_zones_have_no_form_before_format_8() {
+fn zone_commands_cannot_be_written_before_format_8() {
     let command = || StampedCommand {
         elapsed_ms: 0,
         command: Command::EvacuateZone("za".to_owned()),
@@ -130,7 +131,7 @@
 }
 
 #[test]
-fn state_that_is_cut_off_in_the_middle_is_refused() {
+fn a_truncated_snapshot_is_rejected() {
     for golden in golden::all() {
         let snapshot = golden.of("snapshot").next().expect("a snapshot");
         for length in 0..snapshot.len() {
--- a/crates/pinerill-cluster/tests/support/mod.rs
+++ b/crates/pinerill-cluster/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A state table in memory, and what earlier builds wrote.
+//! In-memory state table, and golden bytes written by other builds.
 
 #![allow(dead_code)]
 
@@ -10,7 +10,7 @@
 use pinerill_cluster::machine::ClusterMachine;
 use pinerill_control::host::{StateMachine, TableWriter};
 
-/// What a state machine wrote.
+/// State table that keeps the entries written by a state machine.
 #[derive(Default)]
 pub struct Table(pub BTreeMap<Vec<u8>, Vec<u8>>);
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Applies a command that must be readable.
+/// Applies a command and asserts that it is readable.
 pub fn apply(machine: &mut ClusterMachine, index: u64, command: &[u8], table: &mut Table) {
     let applied = machine.apply(index, command, table);
     assert!(applied.is_ok(), "{applied:?}");
--- a/crates/pinerill-cluster/tests/turns.rs
+++ b/crates/pinerill-cluster/tests/turns.rs
@@ -1,4 +1,4 @@
-//! Requests of a whole fleet at once hold up nothing else.
+//! Guards against requests of a whole fleet that arrive at once and delay other tasks.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -8,23 +8,24 @@
 use tokio::sync::watch;
 use tokio::task::yield_now;
 
-/// Requests that are worked on between two turns of another task at most, if so many come at
-/// once.
-fn most_between_two_turns(requests: usize, in_turn: bool) -> usize {
+/// Returns the largest number of requests that run between two turns of another task if
+/// `requests` of them arrive at once.
+fn max_requests_between_turns(requests: usize, is_limited: bool) -> usize {
     let runtime = Builder::new_current_thread().build().expect("a runtime");
-    let worked = Arc::new(AtomicUsize::new(0));
-    let (news, heard) = watch::channel(false);
-    let turns = Arc::new(RequestLimiter::default());
+    let processed = Arc::new(AtomicUsize::new(0));
+    let (trigger, triggered) = watch::channel(false);
+    let limiter = Arc::new(RequestLimiter::default());
     runtime.block_on(async {
         for _ in 0..requests {
-            let (turns, worked, mut heard) = (turns.clone(), worked.clone(), heard.clone());
+            let (limiter, processed, mut triggered) =
+                (limiter.clone(), processed.clone(), triggered.clone());
             tokio::spawn(async move {
-                heard.changed().await.expect("news");
-                let _turn = match in_turn {
-                    true => turns.acquire().await,
+                triggered.changed().await.expect("news");
+                let _permit = match is_limited {
+                    true => limiter.acquire().await,
                     false => None,
                 };
-                worked.fetch_add(1, Ordering::Relaxed);
+                processed.fetch_add(1, Ordering::Relaxed);
             });
         }
         let heartbeat = tokio::spawn(async move {
@@ -32,29 +33,29 @@
             let mut most = 0;
             while before < requests {
                 yield_now().await;
-                let now = worked.load(Ordering::Relaxed);
+                let now = processed.load(Ordering::Relaxed);
                 most = most.max(now - before);
                 before = now;
             }
             most
         });
         yield_now().await;
-        news.send(true).expect("requests wait");
-        heartbeat.await.expect("it ends")
+        trigger.send(true).expect("requests wait for the trigger");
+        heartbeat.await.expect("the heartbeat task ends")
     })
 }
 
 #[test]
-fn whatever_the_size_of_the_fleet_few_requests_go_before_another_task() {
+fn few_requests_run_before_another_task_at_any_fleet_size() {
     for requests in [100, 1_000, 2_000, 4_000] {
-        let most = most_between_two_turns(requests, true);
+        let most = max_requests_between_turns(requests, true);
         assert!(most <= 2 * MAX_REQUESTS_PER_TURN, "{most} of {requests}");
     }
 }
 
-/// Why there are turns: without them a heartbeat waits behind all requests.
+/// Shows why the limiter is needed: without it, a heartbeat waits behind all requests.
 #[test]
-fn without_turns_all_of_them_go_first() {
-    let most = most_between_two_turns(1_000, false);
+fn without_the_limiter_all_requests_run_before_another_task() {
+    let most = max_requests_between_turns(1_000, false);
     assert!(most >= 900, "{most} of 1,000");
 }
