--- a/crates/pinerill-calls/src/cells.rs
+++ b/crates/pinerill-calls/src/cells.rs
@@ -1,13 +1,18 @@
-//! Cells: parts of a large fleet whose nodes and workers serve each other.
+//! Partitions the workers of a large fleet into cells, so that a node deals with few workers.
 //!
-//! A node needs some workers, not all. So the workers of a service that has many are divided
-//! into parts, and each node deals with one part of each service: what it is told, holds and
-//! looks through follows the size of a part, whatever the size of the fleet. A fleet whose
-//! services are small has a single cell.
+//! The workers of each large service are divided into parts by a hash of their names. A cell
+//! consists of one part of each service, and each node belongs to one cell. The amount of data
+//! that a node receives, stores and searches therefore depends on the size of a part and not on
+//! the size of the fleet. A fleet in which all services are small has a single cell.
 //!
-//! Invariants: the numbers of parts and cells are powers of two, so that each cell has exactly
-//! one part of each service, and a service of one part is in all cells; a worker's part depends
-//! on its name and the number of parts alone, so that workers that come and go move no others.
+//! Control machines divide the directory with [`Partition::divide`]. Nodes that read the whole
+//! list themselves select their workers with [`Partition::cell_contains`].
+//!
+//! Invariants:
+//! - The numbers of parts and cells are powers of two. Each cell thus contains exactly one part
+//!   of each service, and a service with one part is contained in all cells.
+//! - A worker's part depends only on its name and the number of parts. Workers that are added or
+//!   removed therefore move no others while the number of parts stays the same.
 
 use std::collections::HashMap;
 
@@ -15,46 +20,50 @@
 
 use crate::directory::WorkerEntry;
 
-/// Most workers of a service in one part, in the mean. Nodes tell each other what is in flight
-/// at as many.
-const MOST_WORKERS: usize = 200;
-/// Fewest workers of a service in one part, in the mean, before two parts become one: well
-/// under half of the most, so that a size that varies a little moves nothing.
-const FEWEST_WORKERS: usize = 60;
+/// Maximum mean number of workers in a part of a service. Nodes report to each
+/// other the requests in flight at as many workers.
+const MAX_MEAN_PART_SIZE: usize = 200;
+/// Mean number of workers per part below which the number of parts is halved. It is well below
+/// half of [`MAX_MEAN_PART_SIZE`], so that small variations of a service's size do not cause
+/// repeated splits and merges.
+const MIN_MEAN_PART_SIZE: usize = 60;
 
-/// FNV-1a's first value and its multiplier, 64 bits.
+/// Offset basis and prime of the 64-bit FNV-1a hash.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
-/// The finalizer of splitmix64, which spreads names that differ little.
-const MIX: [(u32, u64); 2] = [(30, 0xbf58_476d_1ce4_e5b9), (27, 0x94d0_49bb_1331_11eb)];
+/// Shift and multiplier of the first two rounds of the splitmix64 finalizer. They spread
+/// the hashes of names that differ in few characters.
+const SPLITMIX64_ROUNDS: [(u32, u64); 2] =
+    [(30, 0xbf58_476d_1ce4_e5b9), (27, 0x94d0_49bb_1331_11eb)];
 
-/// One of the cells of a fleet.
+/// Identifies a cell of a fleet that is divided into a given number of cells.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CellId {
-    /// Which one, from 0.
+    /// Index of the cell, from 0 to `count - 1`.
     pub index: u32,
-    /// How many there are, a power of two.
+    /// Number of cells of the fleet, a power of two.
     pub count: u32,
 }
 
 impl CellId {
-    /// The cells that took this one's place once there are `count`: itself, two or more that
-    /// it was divided into, or one that it was joined to.
+    /// Returns the indices of the cells that replace this cell once the fleet has `count` cells:
+    /// its own index, the cells that it is split into, or the cell that it is merged into.
     pub fn successors(self, count: u32) -> impl Iterator<Item = u32> {
         let step = self.count.min(count).max(1);
         (self.index % step..count).step_by(step as usize)
     }
 }
 
-/// How the workers of a fleet are divided.
+/// The number of parts into which the workers of each service are divided.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Partition {
-    /// Parts of each service, powers of two.
+    /// Number of parts, a power of two, by service name.
     parts: HashMap<String, u32>,
 }
 
 impl Partition {
-    /// How these workers are divided, if they were divided like this before.
+    /// Returns the partition of these workers that replaces this one. A service keeps its number
+    /// of parts unless its size has left the permitted range.
     pub fn repartition(&self, workers: &[WorkerEntry]) -> Partition {
         let mut sizes: HashMap<&str, usize> = HashMap::new();
         for worker in workers {
@@ -62,62 +71,66 @@
         }
         let parts = sizes.into_iter().map(|(service, size)| {
             let before = self.parts.get(service).copied().unwrap_or(1);
-            (service.to_owned(), parts_of(size, before))
+            (service.to_owned(), part_count(size, before))
         });
         Partition {
             parts: parts.collect(),
         }
     }
 
-    /// How many cells there are: as many as the largest service has parts.
+    /// Returns the number of cells, which is the number of parts of the largest service.
     pub fn cell_count(&self) -> u32 {
         self.parts.values().copied().max().unwrap_or(1)
     }
 
-    /// Whether a worker is in the cell with this index.
+    /// Whether the cell with this index contains the worker.
     pub fn cell_contains(&self, index: u32, worker: &WorkerEntry) -> bool {
-        let parts = self.parts_of_service(&worker.service);
-        index % parts == part(worker, parts)
+        let parts = self.service_part_count(&worker.service);
+        index % parts == part_index(worker, parts)
     }
 
-    /// The workers of each cell.
+    /// Returns the workers of each cell, by cell index. A worker of a service that has fewer parts
+    /// than there are cells occurs in several cells.
     pub fn divide(&self, workers: &[WorkerEntry]) -> Vec<Vec<WorkerEntry>> {
         let count = self.cell_count();
         let mut cells: Vec<Vec<WorkerEntry>> = (0..count).map(|_| Vec::new()).collect();
         for worker in workers {
-            let parts = self.parts_of_service(&worker.service);
-            for index in (part(worker, parts)..count).step_by(parts as usize) {
+            let parts = self.service_part_count(&worker.service);
+            for index in (part_index(worker, parts)..count).step_by(parts as usize) {
                 cells[index as usize].push(worker.clone());
             }
         }
         cells
     }
 
-    fn parts_of_service(&self, service: &str) -> u32 {
+    /// Returns the number of parts of a service, 1 if it is unknown.
+    fn service_part_count(&self, service: &str) -> u32 {
         self.parts.get(service).copied().unwrap_or(1)
     }
 }
 
-/// Parts of a service with so many workers.
-fn parts_of(workers: usize, before: u32) -> u32 {
+/// Returns the number of parts of a service with this many workers that had `before` parts.
+fn part_count(workers: usize, before: u32) -> u32 {
     let mut parts = before.max(1);
-    while workers > parts as usize * MOST_WORKERS {
+    while workers > parts as usize * MAX_MEAN_PART_SIZE {
         parts *= 2;
     }
-    while parts > 1 && workers < parts as usize * FEWEST_WORKERS {
+    while parts > 1 && workers < parts as usize * MIN_MEAN_PART_SIZE {
         parts /= 2;
     }
     parts
 }
 
-/// The part of its service that a worker is in.
-fn part(worker: &WorkerEntry, parts: u32) -> u32 {
+/// Returns the index of the part that contains a worker, for a service with `parts` parts.
+fn part_index(worker: &WorkerEntry, parts: u32) -> u32 {
     let name = worker.id.name().bytes();
     let hash = name.fold(FNV_OFFSET, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
     });
-    let mixed = MIX.iter().fold(hash, |hash, (shift, factor)| {
-        (hash ^ (hash >> shift)).wrapping_mul(*factor)
-    });
+    let mixed = SPLITMIX64_ROUNDS
+        .iter()
+        .fold(hash, |hash, (shift, factor)| {
+            (hash ^ (hash >> shift)).wrapping_mul(*factor)
+        });
     ((mixed ^ (mixed >> 31)) % u64::from(parts)) as u32
 }
--- a/crates/pinerill-calls/src/compression.rs
+++ b/crates/pinerill-calls/src/compression.rs
@@ -1,6 +1,7 @@
-//! Compression of bodies and results, which are kept and sent many times.
+//! Compression of request bodies and results, which are stored and sent several times.
 //!
-//! Deflate, since most texts repeat nothing and gain by entropy coding alone.
+//! The algorithm is Deflate, because most texts contain few repetitions and shrink only through
+//! its entropy coding.
 
 use std::io::{Read, Write};
 
@@ -9,33 +10,34 @@
 use flate2::Compression;
 use thiserror::Error;
 
-/// Longest original that is restored, in bytes; a longer one can't be right.
-const ORIGINAL_LIMIT: u64 = 64 << 20;
+/// Maximum size in bytes that [`decompress`] restores. No valid input is larger, so the limit
+/// bounds the memory that malformed input can allocate.
+const MAX_DECOMPRESSED_BYTES: u64 = 64 << 20;
 
-/// Bytes that [`compress`] did not make.
+/// The input of [`decompress`] is malformed or exceeds the size limit.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("decompress: {0}")]
 pub struct DecompressError(String);
 
-/// Compresses bytes.
+/// Compresses bytes with Deflate, favouring speed over size.
 pub fn compress(bytes: &[u8]) -> Vec<u8> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
-    // Writing to a vector can't fail.
+    // Writing to a vector cannot fail.
     let _ = encoder.write_all(bytes);
     encoder.finish().unwrap_or_default()
 }
 
-/// Restores what [`compress`] made.
+/// Restores bytes that [`compress`] has compressed.
 ///
 /// # Errors
-/// When the bytes were not made by [`compress`].
+/// [`DecompressError`] if the input is not valid Deflate data or decompresses to more than 64 MiB.
 pub fn decompress(bytes: &[u8]) -> Result<Vec<u8>, DecompressError> {
     let mut original = Vec::new();
-    let mut limited = DeflateDecoder::new(bytes).take(ORIGINAL_LIMIT + 1);
+    let mut limited = DeflateDecoder::new(bytes).take(MAX_DECOMPRESSED_BYTES + 1);
     limited
         .read_to_end(&mut original)
         .map_err(|error| DecompressError(error.to_string()))?;
-    if original.len() as u64 > ORIGINAL_LIMIT {
+    if original.len() as u64 > MAX_DECOMPRESSED_BYTES {
         return Err(DecompressError("the original is too long".to_owned()));
     }
     Ok(original)
--- a/crates/pinerill-calls/src/directory.rs
+++ b/crates/pinerill-calls/src/directory.rs
@@ -1,4 +1,9 @@
-//! The directory of workers, as the platform list tells it.
+//! The directory of workers, built from the worker list that the platform serves.
+//!
+//! A control machine collects the pages of the list in a [`ListReading`] and records the result
+//! in a [`DirectoryHistory`], which computes [`DirectoryUpdate`]s for nodes. A node applies an
+//! update to the [`Directory`] that it holds. Digests ensure that a change is never applied to a
+//! directory for which it was not computed.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -9,53 +14,59 @@
 use crate::digest::Digest;
 use crate::encoding::Format;
 
-/// Directories that a control machine remembers: the list is read once a second and nodes
-/// ask twice, so that only one that was cut off lags by more.
-const DIRECTORIES_KEPT: usize = 8;
+/// Number of directories, including the current one, that a control machine retains to compute
+/// differences. The list is read once per second and nodes ask twice per second, so only a node
+/// that was disconnected lags behind by more.
+const HISTORY_LENGTH: usize = 8;
 
-/// Between a worker's name and its birth in an identifier.
-const BIRTH_MARK: char = '@';
+/// Separates a worker's name from its start time in an identifier.
+const START_TIME_SEPARATOR: char = '@';
 
-/// Identifies one start of a worker: the name that the platform gives it and, where the
-/// platform tells it, the Unix millisecond of its start. A worker may start again under the
-/// name that it had; it is then another one, and knows nothing of before. Where no birth is
-/// told, a name is never used twice.
+/// Identifies one incarnation of a worker: the name that the platform assigns and, if the
+/// platform reports it, the Unix time of its start in milliseconds. A worker may restart under
+/// the same name. It is then a different incarnation that has no state from before. If the
+/// platform reports no start time, it never reuses a name.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WorkerId(String);
 
 impl WorkerId {
-    /// The start of a worker of this name with this birth.
+    /// Creates the identifier of a worker with this name and start time, a Unix time in
+    /// milliseconds.
     pub fn new(name: &str, started_at_ms: Option<u64>) -> Self {
         WorkerId(match started_at_ms {
-            Some(started_at_ms) => format!("{name}{BIRTH_MARK}{started_at_ms}"),
-            // A name that looks as if it told a birth is marked as one that doesn't.
-            None if name.contains(BIRTH_MARK) => format!("{name}{BIRTH_MARK}"),
+            Some(started_at_ms) => format!("{name}{START_TIME_SEPARATOR}{started_at_ms}"),
+            // A trailing separator keeps the rest of the name from being parsed as a start time.
+            None if name.contains(START_TIME_SEPARATOR) => format!("{name}{START_TIME_SEPARATOR}"),
             None => name.to_owned(),
         })
     }
 
-    /// The name that the platform gives the worker.
+    /// Returns the name that the platform assigns to the worker, without the start time.
     pub fn name(&self) -> &str {
-        self.parts().0
+        self.split_start_time().0
     }
 
-    /// The Unix millisecond of its start, if it is told.
+    /// Returns the Unix time of the worker's start in milliseconds, or `None` if the platform did
+    /// not report it.
     pub fn started_at_ms(&self) -> Option<u64> {
-        self.parts().1.parse().ok()
+        self.split_start_time().1.parse().ok()
     }
 
-    /// The whole identifier.
+    /// Returns the whole identifier: the name and, if known, the start time.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    fn parts(&self) -> (&str, &str) {
-        self.0.rsplit_once(BIRTH_MARK).unwrap_or((&self.0, ""))
+    /// Splits the identifier into the name and the start time, which is empty if unknown.
+    fn split_start_time(&self) -> (&str, &str) {
+        self.0
+            .rsplit_once(START_TIME_SEPARATOR)
+            .unwrap_or((&self.0, ""))
     }
 }
 
 impl From<String> for WorkerId {
-    /// From a whole identifier.
+    /// Wraps a whole identifier as [`WorkerId::as_str`] returns it.
     fn from(identifier: String) -> Self {
         WorkerId(identifier)
     }
@@ -81,90 +92,93 @@
     }
 }
 
-/// One worker of the platform list.
+/// One worker of the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerEntry {
-    /// This start of the worker.
+    /// The incarnation of the worker.
     pub id: WorkerId,
-    /// The service that it serves.
+    /// Name of the service that the worker belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address on which the worker accepts requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Name of the zone in which the worker runs.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// Number of requests that the worker processes concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the worker accepts new requests.
     pub state: WorkerState,
-    /// Time during which it is still slow after its start, milliseconds.
+    /// Remaining time in milliseconds during which the worker is slow after its start; 0 once it
+    /// is warm.
     pub cold_left_ms: u64,
 }
 
-/// Whether a worker takes new work.
+/// Whether a worker accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WorkerState {
-    /// It does.
+    /// The worker accepts new requests.
     Ready,
-    /// It finishes what it has and leaves.
+    /// The worker completes its requests in flight, accepts no new ones and then stops.
     Draining,
 }
 
-/// One page of the platform list.
+/// One page of the platform's worker list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerPage {
-    /// Workers on this page.
+    /// Valid entries of this page.
     pub workers: Vec<WorkerEntry>,
-    /// Token of the next page; none on the last.
+    /// Token with which the next page is requested; `None` on the last page.
     pub next: Option<String>,
-    /// Entries that name no worker to use.
+    /// Entries of this page that could not be parsed.
     pub skipped: SkippedEntries,
 }
 
-/// Entries of the platform list that could not be read, as they may come from another
-/// writer. They name no worker; the others hold.
+/// Entries of the platform's list that could not be parsed, for instance because another
+/// implementation wrote them. They are skipped, and the other entries remain valid.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SkippedEntries {
-    /// How many.
+    /// Number of skipped entries.
     pub count: usize,
-    /// What is wrong with the first one; none of its content.
+    /// What is wrong with the first skipped entry, without any of its content; `None` if no
+    /// entry was skipped.
     pub first_reason: Option<String>,
 }
 
 impl SkippedEntries {
-    /// One more could not be read.
+    /// Counts one more entry and keeps the reason if it is the first.
     pub fn add(&mut self, reason: String) {
         self.count += 1;
         self.first_reason.get_or_insert(reason);
     }
 
-    /// Those of another page as well.
+    /// Adds the skipped entries of another page.
     pub fn extend(&mut self, other: SkippedEntries) {
         self.count += other.count;
         self.first_reason = self.first_reason.take().or(other.first_reason);
     }
 }
 
-/// Pages of the platform list, gathered into one reading.
+/// Collects the pages of one complete reading of the platform's worker list.
 #[derive(Debug, Default)]
 pub struct ListReading {
-    /// Workers so far.
+    /// Workers of all pages added so far.
     pub workers: Vec<WorkerEntry>,
-    /// Entries so far that name none.
+    /// Entries that could not be parsed on the pages added so far.
     pub skipped: SkippedEntries,
     tokens: HashSet<String>,
     pages: usize,
 }
 
-/// A list whose pages lead back to one that was read already.
+/// The list returned the token of a page that was already requested, so reading would not
+/// terminate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("a page's token was told before: the list has no end")]
+#[error("the worker list repeats a page token and would never end")]
 pub struct RepeatedPageToken;
 
 impl ListReading {
-    /// Takes in a page. Returns the token of the next one, if there is one.
+    /// Adds a page. Returns the token of the next page, or `None` if this page is the last.
     ///
     /// # Errors
-    /// [`RepeatedPageToken`].
+    /// [`RepeatedPageToken`] if an earlier page had the same token.
     pub fn add_page(&mut self, page: WorkerPage) -> Result<Option<String>, RepeatedPageToken> {
         self.pages += 1;
         self.workers.extend(page.workers);
@@ -175,41 +189,41 @@
         }
     }
 
-    /// Pages taken in so far.
+    /// Returns the number of pages added so far.
     pub fn pages(&self) -> usize {
         self.pages
     }
 }
 
-/// What leads from a directory that the asker holds to the present one.
+/// The change from the directory that a node holds to the current one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryUpdate {
-    /// Digest of the present directory.
+    /// Digest of the current directory, with which the result is verified.
     pub digest: Digest,
-    /// The change.
+    /// The change to apply to the directory that the node holds.
     pub change: DirectoryChange,
 }
 
-/// How a directory changes.
+/// A change of a directory, as a complete list or as a difference.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DirectoryChange {
-    /// All workers.
+    /// Replaces the directory by these workers.
     Whole(Vec<WorkerEntry>),
-    /// Against the directory that the asker named.
+    /// Difference from the directory whose digest the node sent.
     Difference {
-        /// Workers that are listed no more.
+        /// Workers to remove.
         removed: Vec<WorkerId>,
-        /// Workers that are new or have changed.
+        /// Workers to insert or, if the identifier exists, to overwrite.
         put: Vec<WorkerEntry>,
     },
 }
 
-/// A change does not lead to the directory that it was told for.
+/// Applying an update did not result in the directory with the digest of the update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the change belongs to another directory")]
 pub struct DirectoryMismatch;
 
-/// A directory in the order of its workers' names.
+/// The workers of one reading, sorted by name and with one entry per name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Directory {
     workers: Vec<WorkerEntry>,
@@ -217,8 +231,8 @@
 }
 
 impl Directory {
-    /// The directory of these workers, given in any order.
-    /// Of two starts of one worker the later one counts.
+    /// Creates a directory of these workers, given in any order. If several incarnations of a
+    /// worker are given, only the latest is kept.
     pub fn new(mut workers: Vec<WorkerEntry>) -> Self {
         workers.sort_by(|left, right| {
             let (left, right) = (&left.id, &right.id);
@@ -230,51 +244,53 @@
         Directory { workers, digest }
     }
 
-    /// Its digest.
+    /// Returns the digest of the directory in the newest format.
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// Its digest in an older format.
+    /// Returns the digest that a process of the given format computes for this directory.
     pub fn digest_in_format(&self, format: Format) -> Digest {
         Digest::of_in_format(format, &self.workers)
     }
 
-    /// Whether it names this start of a worker.
+    /// Whether the directory contains this incarnation of a worker.
     pub fn contains(&self, worker: &WorkerId) -> bool {
-        let place = self
+        let index = self
             .workers
-            .binary_search_by(|one| one.id.name().cmp(worker.name()));
-        place.is_ok_and(|place| self.workers[place].id == *worker)
+            .binary_search_by(|entry| entry.id.name().cmp(worker.name()));
+        index.is_ok_and(|index| self.workers[index].id == *worker)
     }
 
-    /// All workers.
+    /// Returns all workers, sorted by name.
     pub fn workers(&self) -> &[WorkerEntry] {
         &self.workers
     }
 
-    /// What changes from an earlier directory to this one.
+    /// Returns the difference from an earlier directory to this one.
     pub fn changes_since(&self, earlier: &Directory) -> DirectoryChange {
         let before: HashMap<&str, &WorkerEntry> = earlier.by_id();
         let now = self.by_id();
         let gone = earlier
             .workers
             .iter()
-            .filter(|one| !now.contains_key(one.id.as_str()));
+            .filter(|entry| !now.contains_key(entry.id.as_str()));
         let put = self
             .workers
             .iter()
-            .filter(|one| before.get(one.id.as_str()) != Some(one));
+            .filter(|entry| before.get(entry.id.as_str()) != Some(entry));
         DirectoryChange::Difference {
-            removed: gone.map(|one| one.id.clone()).collect(),
+            removed: gone.map(|entry| entry.id.clone()).collect(),
             put: put.cloned().collect(),
         }
     }
 
-    /// The directory that an update leads to from the one that is held.
+    /// Applies an update to the directory that a node holds, and verifies the digest.
     ///
     /// # Errors
-    /// [`DirectoryMismatch`] if it does not lead there; the whole must be asked for.
+    /// [`DirectoryMismatch`] if the result does not have the digest of the update, or if the
+    /// update is a difference and no directory is held. The caller must then request the whole
+    /// directory.
     pub fn apply_update(
         held: Option<&Directory>,
         update: DirectoryUpdate,
@@ -286,10 +302,10 @@
         }
     }
 
-    /// The directory that a change leads to, whatever it is named.
+    /// Applies a change to the directory that a node holds, without verifying a digest.
     ///
     /// # Errors
-    /// [`DirectoryMismatch`] if the change needs a directory and none is held.
+    /// [`DirectoryMismatch`] if the change is a difference and no directory is held.
     pub fn apply_change(
         held: Option<&Directory>,
         change: DirectoryChange,
@@ -298,8 +314,8 @@
             DirectoryChange::Whole(workers) => workers,
             DirectoryChange::Difference { removed, put } => {
                 let held = held.ok_or(DirectoryMismatch)?;
-                let replaced = |one: &WorkerEntry| put.iter().any(|new| new.id == one.id);
-                let stays = |one: &&WorkerEntry| !removed.contains(&one.id) && !replaced(one);
+                let replaced = |entry: &WorkerEntry| put.iter().any(|new| new.id == entry.id);
+                let stays = |entry: &&WorkerEntry| !removed.contains(&entry.id) && !replaced(entry);
                 let mut workers: Vec<WorkerEntry> =
                     held.workers.iter().filter(stays).cloned().collect();
                 workers.extend(put);
@@ -311,63 +327,66 @@
 
     fn by_id(&self) -> HashMap<&str, &WorkerEntry> {
         let workers = self.workers.iter();
-        workers.map(|one| (one.id.as_str(), one)).collect()
+        workers.map(|entry| (entry.id.as_str(), entry)).collect()
     }
 }
 
-/// The present directory and some before it, so that who holds one of these is told what
-/// has changed since.
+/// The current directory and its most recent predecessors. Nodes that hold one of them receive only
+/// the difference to the current one.
 #[derive(Debug, Default)]
 pub struct DirectoryHistory {
-    /// The newest last.
+    /// Ordered from the oldest to the current one.
     directories: VecDeque<Directory>,
-    /// When the newest whole reading of the list began, on its reader's clock, milliseconds.
-    read_ms: Option<u64>,
+    /// Time in milliseconds, on the reader's clock, at which the latest complete reading of the
+    /// list began; `None` before the first.
+    last_reading_began_ms: Option<u64>,
 }
 
 impl DirectoryHistory {
-    /// Takes in a whole reading of the list that began at that time; true if it is news.
+    /// Records a complete reading of the list that began at `began_ms`, in milliseconds on the
+    /// reader's clock. Returns true if the directory has changed.
     pub fn record_reading(&mut self, began_ms: u64, workers: Vec<WorkerEntry>) -> bool {
-        self.read_ms = self.read_ms.max(Some(began_ms));
+        self.last_reading_began_ms = self.last_reading_began_ms.max(Some(began_ms));
         let directory = Directory::new(workers);
         if self.directories.back() == Some(&directory) {
             return false;
         }
         self.directories.push_back(directory);
-        if self.directories.len() > DIRECTORIES_KEPT {
+        if self.directories.len() > HISTORY_LENGTH {
             self.directories.pop_front();
         }
         true
     }
 
-    /// The present directory; none before the first reading.
+    /// Returns the current directory, or `None` before the first reading.
     pub fn current(&self) -> Option<&Directory> {
         self.directories.back()
     }
 
-    /// Time from the beginning of the newest reading to a moment, milliseconds; none before
-    /// the first reading. The beginning counts, since a page may have been read then.
+    /// Returns the time in milliseconds from the beginning of the latest reading to `at_ms`, or
+    /// `None` before the first reading. The age counts from the beginning because the first
+    /// pages reflect the state at that time.
     pub fn age_ms(&self, at_ms: u64) -> Option<u64> {
-        Some(at_ms.saturating_sub(self.read_ms?))
+        Some(at_ms.saturating_sub(self.last_reading_began_ms?))
     }
 
-    /// The same digest, if the directory that it names is remembered.
+    /// Returns the given digest if a retained directory has it, otherwise `None`.
     pub fn retained_digest(&self, held: Option<Digest>) -> Option<Digest> {
         let mut kept = self.directories.iter();
-        kept.find(|one| Some(one.digest) == held)
+        kept.find(|directory| Some(directory.digest) == held)
             .map(Directory::digest)
     }
 
-    /// What leads from the directory with this digest to the present one; none if it is
-    /// the present one or nothing was read yet. Who holds none that is known here gets
-    /// the whole.
+    /// Returns the update from the directory with digest `held` to the current one. The update
+    /// contains the whole directory if `held` is `None` or no retained directory has it. Returns
+    /// `None` if `held` is current or the list was not read yet.
     pub fn update_from(&self, held: Option<Digest>) -> Option<DirectoryUpdate> {
         let current = self.current()?;
         if held == Some(current.digest) {
             return None;
         }
         let mut kept = self.directories.iter().rev();
-        let earlier = kept.find(|one| Some(one.digest) == held);
+        let earlier = kept.find(|directory| Some(directory.digest) == held);
         let change = match earlier {
             Some(earlier) => current.changes_since(earlier),
             None => DirectoryChange::Whole(current.workers.clone()),
--- a/crates/pinerill-calls/src/encoding.rs
+++ b/crates/pinerill-calls/src/encoding.rs
@@ -1,4 +1,5 @@
-//! The encoding of messages, commands and snapshots: a byte that names the format, then postcard.
+//! The encoding of messages, commands and snapshots: one format byte, followed by the value in
+//! postcard.
 
 use std::fmt;
 
@@ -6,36 +7,37 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// A layout of messages, commands and stored state, named by their first byte. It is raised
-/// with every change of what they hold, since the encoding names no fields: bytes of another
-/// layout may be read as something else. Forms of older formats stand in [`crate::formats`].
+/// The version of the layout of messages, commands and stored state, which their first byte
+/// states. Every change of their fields increments it, because postcard encodes no field names
+/// and bytes of another layout could decode to a wrong value. [`crate::formats`] converts the
+/// layouts of older formats.
 ///
-/// | format | what came with it |
+/// | format | additions |
 /// |---|---|
-/// | 1 | the first layout |
-/// | 2 | numbers of failed runs, usual run times in lease requests |
+/// | 1 | initial layout |
+/// | 2 | counts of failed runs, usual run times in lease requests |
 /// | 3 | the leader in answers to joining machines, lengths of calls and texts |
-/// | 4 | slack of the backlog in answers to lease requests, nodes of other zones in answers to watches, callers' patience in routes |
-/// | 5 | what an asker of a watch or a joining machine knows already is named by its digest and not sent again |
-/// | 6 | tenants and public routes in route tables, requests borrowed |
-/// | 7 | age of the directory in answers to watches, health paths of services |
+/// | 4 | slack of the backlog in answers to lease requests, nodes of other zones in answers to watches, maximum time that callers wait in routes |
+/// | 5 | digests in watches and join requests in place of contents that the requester already has |
+/// | 6 | tenants and public routes in route tables, borrowing of request tokens |
+/// | 7 | age of the directory in answers to watches, health check paths of services |
 /// | 8 | evacuated zones, slow starts of services, allowed regions, cells of the fleet |
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Format(u8);
 
 impl Format {
-    /// The oldest one that this build reads and writes.
+    /// The oldest format that this build reads and writes.
     pub const OLDEST: Format = Format(4);
-    /// The first one with an answer that names what the asker knows by its digest.
+    /// The first format in which requesters send digests of the contents that they have.
     pub const DIGESTS: Format = Format(5);
-    /// The first one with tenants.
+    /// The first format with tenants.
     pub const TENANTS: Format = Format(6);
-    /// The first one with the age of the directory.
+    /// The first format whose answers to watches contain the age of the directory.
     pub const DIRECTORY_AGE: Format = Format(7);
-    /// The newest one.
+    /// The newest format, which processes of this build use among themselves.
     pub const NEWEST: Format = Format(8);
 
-    /// The format that a byte names, if this build knows it.
+    /// Returns the format with this byte, or `None` if this build does not support it.
     pub fn from_byte(byte: u8) -> Option<Self> {
         let format = Format(byte);
         (Self::OLDEST..=Self::NEWEST)
@@ -43,12 +45,12 @@
             .then_some(format)
     }
 
-    /// The byte that names it.
+    /// Returns the byte with which encoded values of this format begin.
     pub fn byte(self) -> u8 {
         self.0
     }
 
-    /// Those that this build knows, the newest first.
+    /// Returns all formats that this build supports, from the newest to the oldest.
     pub fn newest_first() -> impl Iterator<Item = Format> {
         (Self::OLDEST.0..=Self::NEWEST.0).rev().map(Format)
     }
@@ -60,74 +62,76 @@
     }
 }
 
-/// Why bytes are not a message.
+/// The reason why bytes cannot be decoded as a message.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum MessageError {
-    /// Of a format that can't be read here.
-    #[error("format {} can't be read, formats {} to {} can", named(.0), Format::OLDEST, Format::NEWEST)]
+    /// The format byte is not supported, or `None` if the input is empty.
+    #[error("format {} can't be read, formats {} to {} can", format_name(.0), Format::OLDEST, Format::NEWEST)]
     Format(Option<u8>),
-    /// Not a message.
+    /// The format is supported, but the rest of the input is not a valid message.
     #[error("malformed message: {0}")]
     Malformed(String),
 }
 
-fn named(byte: &Option<u8>) -> String {
+/// Returns the text for a format byte in error messages.
+fn format_name(byte: &Option<u8>) -> String {
     byte.map_or("of no bytes".to_owned(), |byte| byte.to_string())
 }
 
-/// The format of encoded bytes.
+/// Returns the format of encoded bytes.
 ///
 /// # Errors
-/// [`MessageError::Format`] when this build does not know it.
+/// [`MessageError::Format`] if this build does not support it or the input is empty.
 pub fn format_of(bytes: &[u8]) -> Result<Format, MessageError> {
     let byte = bytes.first().copied();
     byte.and_then(Format::from_byte)
         .ok_or(MessageError::Format(byte))
 }
 
-/// Encodes a message or a part of one in the newest format.
+/// Encodes a message, or a part of one, in the newest format.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     encode_as(Format::NEWEST, message)
 }
 
-/// Encodes what has its layout in this format.
+/// Encodes a value whose type has the layout of the given format.
 pub fn encode_as<T: Serialize>(format: Format, message: &T) -> Vec<u8> {
     let bytes = vec![format.byte()];
     postcard::to_extend(message, bytes).expect("messages hold nothing that can't be encoded")
 }
 
-/// Decodes what [`encode`] made.
+/// Decodes a value that [`encode`] wrote.
 ///
 /// # Errors
-/// [`MessageError`] when the bytes are of another format or malformed.
+/// [`MessageError`] if the bytes are of another format than the newest or malformed.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, MessageError> {
     decode_as(Format::NEWEST, bytes)
 }
 
-/// Decodes bytes of one format; `T` has the layout of that format.
+/// Decodes bytes of the given format. `T` must have the layout of that format.
 ///
 /// # Errors
-/// [`MessageError`] when the bytes are of another format or malformed.
+/// [`MessageError`] if the bytes are of another format or malformed.
 pub fn decode_as<T: DeserializeOwned>(format: Format, bytes: &[u8]) -> Result<T, MessageError> {
     match format_of(bytes)? {
-        found if found == format => decode_any(bytes),
+        actual if actual == format => decode_any(bytes),
         other => Err(MessageError::Format(Some(other.byte()))),
     }
 }
 
-/// Decodes bytes of any known format; the layout of `T` is the same in all of them.
+/// Decodes bytes of any supported format. `T` must have the same layout in all of them, or have
+/// the layout of the format that the caller has read with [`format_of`].
 ///
 /// # Errors
-/// [`MessageError`] when the bytes are of an unknown format or malformed.
+/// [`MessageError`] if the bytes are of an unsupported format or malformed.
 pub fn decode_any<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, MessageError> {
     format_of(bytes)?;
     postcard::from_bytes(&bytes[1..]).map_err(|error| MessageError::Malformed(error.to_string()))
 }
 
-/// Names another format in bytes whose layout is the same in both.
+/// Replaces the format byte of an encoded value whose layout is the same in both formats.
 ///
 /// # Errors
-/// [`MessageError::Format`] when the bytes are of an unknown format.
+/// [`MessageError::Format`] if the bytes are of an unsupported format.
 pub fn set_format(mut bytes: Vec<u8>, format: Format) -> Result<Vec<u8>, MessageError> {
     format_of(&bytes)?;
     bytes[0] = format.byte();
--- a/crates/pinerill-calls/src/formats/mod.rs
+++ b/crates/pinerill-calls/src/formats/mod.rs
@@ -1,9 +1,9 @@
-//! Messages and stored state of older builds, read and written.
+//! Reads and writes the messages and stored state of older builds.
 //!
-//! One module an older format holds the forms that differ from the next newer one and turns
-//! them into the present ones and back; what did not change is used as it is. What an older
-//! form can't hold is left out, or the message can't be expressed at all
-//! ([`NotExpressible`]): the peer then is asked nothing, instead of something else.
+//! There is one module per older format. It defines the types whose layout differs from the next
+//! newer format and converts them to and from the current types. Unchanged types are reused.
+//! Fields that an older layout lacks are omitted. A message that an older format cannot express
+//! without changing its meaning is rejected with [`NotExpressible`] and not sent.
 
 mod requests;
 mod responses;
@@ -32,26 +32,26 @@
 pub use v6::Table as TableV6;
 pub use v7::Table as TableV7;
 
-/// A format has no form for a message.
+/// The error for a message that an older format cannot express.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("format {format} has no {what}")]
 pub struct NotExpressible {
-    /// The format.
+    /// The format in which the message was to be written.
     pub format: Format,
-    /// The message.
+    /// The kind of the message, for the error text.
     pub what: &'static str,
 }
 
-/// A route table of an older format.
+/// A route table in the layout of an older format, convertible to and from [`RouteTable`].
 pub trait OlderTable:
     Serialize + DeserializeOwned + From<RouteTable> + Into<RouteTable> + Clone
 {
 }
 
-/// Writes a request in a format.
+/// Encodes a request in the given format.
 ///
 /// # Errors
-/// [`NotExpressible`].
+/// [`NotExpressible`] if the format does not have this request.
 pub fn encode_request(request: CallsRequest, format: Format) -> Result<Vec<u8>, NotExpressible> {
     if format == Format::NEWEST {
         return Ok(encode(&request));
@@ -67,10 +67,10 @@
     })
 }
 
-/// Reads a request of any known format.
+/// Decodes a request of any supported format. Returns the format together with the request.
 ///
 /// # Errors
-/// [`MessageError`] when it is of an unknown format or malformed.
+/// [`MessageError`] if the bytes are of an unsupported format or malformed.
 pub fn decode_request(bytes: &[u8]) -> Result<(Format, CallsRequest), MessageError> {
     let format = format_of(bytes)?;
     let request = match format.byte() {
@@ -83,10 +83,10 @@
     Ok((format, request))
 }
 
-/// Writes a response in a format.
+/// Encodes a response in the given format.
 ///
 /// # Errors
-/// [`NotExpressible`].
+/// [`NotExpressible`] if the format does not have this response or lacks an essential part of it.
 pub fn encode_response(response: CallsResponse, format: Format) -> Result<Vec<u8>, NotExpressible> {
     if format == Format::NEWEST {
         return Ok(encode(&response));
@@ -101,10 +101,10 @@
     })
 }
 
-/// Reads a response of any known format.
+/// Decodes a response of any supported format.
 ///
 /// # Errors
-/// [`MessageError`] when it is of an unknown format or malformed.
+/// [`MessageError`] if the bytes are of an unsupported format or malformed.
 pub fn decode_response(bytes: &[u8]) -> Result<CallsResponse, MessageError> {
     Ok(match format_of(bytes)?.byte() {
         4 => decode_any::<v4::Response>(bytes)?.into(),
@@ -115,33 +115,39 @@
     })
 }
 
-/// Writes a watch of format 4 by a node that holds the directory with this place.
-pub fn encode_positioned_watch(watch: WatchRequest, place: Option<DirectoryPosition>) -> Vec<u8> {
-    let request = v4::Request::Watch(v4::Watch::new(watch, place));
+/// Encodes a watch request in format 4, in which a node identifies the directory that it holds by
+/// its position in the leader's history instead of its digest.
+pub fn encode_positioned_watch(
+    watch: WatchRequest,
+    position: Option<DirectoryPosition>,
+) -> Vec<u8> {
+    let request = v4::Request::Watch(v4::Watch::new(watch, position));
     encode_as(Format::OLDEST, &request)
 }
 
-/// The place of the directory in an answer of format 4 to a watch.
+/// Returns the position of the directory in a watch response of format 4. Returns `None` if the
+/// bytes are anything else or the response contains no directory.
 pub fn directory_position(bytes: &[u8]) -> Option<DirectoryPosition> {
     match decode_any(bytes).ok()? {
-        v4::Response::Watch(watched) => watched.position(),
+        v4::Response::Watch(response) => response.position(),
         _ => None,
     }
 }
 
-/// The digest by which a process of formats 5 to 7 names the processes that it was told.
+/// Computes the digest that a process of formats 5 to 7 computes for its known processes.
 pub fn older_processes_digest(format: Format, processes: &Processes) -> Digest {
     Digest::of_in_format(format, &OlderProcesses::from(processes.clone()))
 }
 
-/// A stored or sent call of an item, in a format that its reader knows. Bytes that are no
-/// call stay as they are: who reads them says so.
+/// Converts the compressed call of an item, stored or received, to a format that the reader supports. The
+/// layout of calls is the same in all formats, so only the format byte changes. Bytes that are
+/// not a call are returned unchanged, so that the reader reports them as malformed.
 pub fn convert_call(call: Vec<u8>, format: Format) -> Vec<u8> {
     let Ok(plain) = decompress(&call) else {
         return call;
     };
     match format_of(&plain) {
-        Ok(found) if found != format && decode_any::<ItemCall>(&plain).is_ok() => {
+        Ok(current) if current != format && decode_any::<ItemCall>(&plain).is_ok() => {
             let mut plain = plain;
             plain[0] = format.byte();
             compress(&plain)
@@ -150,13 +156,14 @@
     }
 }
 
-/// Names a format in all calls of a job.
+/// Converts all calls of a job to the given format.
 pub fn convert_job(job: &mut NewCallJob, format: Format) {
     for item in &mut job.items {
         item.call = convert_call(std::mem::take(&mut item.call), format);
     }
 }
 
+/// Converts the calls that a request contains to the given format.
 fn convert_calls_in(request: CallsRequest, format: Format) -> CallsRequest {
     match request {
         CallsRequest::SubmitJob(mut job) => {
--- a/crates/pinerill-calls/src/formats/requests.rs
+++ b/crates/pinerill-calls/src/formats/requests.rs
@@ -1,4 +1,6 @@
-//! Requests of formats 5 to 7, which differ in their route tables and a few cases alone.
+//! Request types that several older formats share.
+//!
+//! The requests of formats 5 to 7 differ only in their route tables and in a few variants.
 
 use std::net::SocketAddr;
 
@@ -12,7 +14,7 @@
     WatchRequest,
 };
 
-/// A request of formats 6 and 7 with the route table `T`.
+/// A request of formats 6 and 7, where `T` is the route table of the format.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum OlderRequest<T> {
     Watch(OlderWatch),
@@ -30,14 +32,14 @@
     RetirementState(String),
 }
 
-/// A route table with its document, up to format 7.
+/// The counterpart of [`PutTable`] up to format 7, where `T` is the route table of the format.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct OlderPutTable<T> {
     table: T,
     document: Vec<u8>,
 }
 
-/// A watch of formats 5 to 7: without evacuations and cells.
+/// The counterpart of [`WatchRequest`] in formats 5 to 7, without evacuations and cells.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct OlderWatch {
     node: String,
@@ -49,7 +51,7 @@
     wait_ms: u64,
 }
 
-/// A request for items up to format 7: without the node's zone.
+/// The counterpart of [`LeaseRequest`] up to format 7, without the node's zone.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct OlderLease {
     node: String,
@@ -80,7 +82,7 @@
 }
 
 impl<T: OlderTable> TryFrom<CallsRequest> for OlderRequest<T> {
-    /// The case is one of a newer format.
+    /// The request exists only in newer formats.
     type Error = ();
 
     fn try_from(request: CallsRequest) -> Result<Self, ()> {
--- a/crates/pinerill-calls/src/formats/responses.rs
+++ b/crates/pinerill-calls/src/formats/responses.rs
@@ -1,4 +1,6 @@
-//! Responses of formats 5 to 7, which differ in their answers to watches and a few cases alone.
+//! Response types that several older formats share.
+//!
+//! The responses of formats 5 to 7 differ only in their watch responses and in a few variants.
 
 use std::net::SocketAddr;
 
@@ -15,7 +17,7 @@
 use crate::packed::{Packed, UnpackError};
 use pinerill_quota::message::TenantLoan;
 
-/// A response of formats 6 and 7 with the answer to watches `W`.
+/// A response of formats 6 and 7, where `W` is the watch response of the format.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum OlderResponse<W> {
     Watch(Box<W>),
@@ -30,7 +32,7 @@
     Done,
 }
 
-/// Processes up to format 7: without other cells.
+/// The counterpart of [`Processes`] in formats 5 to 7, without bridges to other cells.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OlderProcesses {
     controls: Vec<ControlAddress>,
@@ -38,7 +40,7 @@
     relays: Vec<ZoneRelays>,
 }
 
-/// What answers to watches of formats 5 to 7 have in common.
+/// The fields of watch responses of formats up to 7, with the route table `T` of the format.
 #[derive(Debug)]
 pub(super) struct WatchParts<T> {
     pub(super) table: Option<T>,
@@ -49,8 +51,11 @@
 }
 
 impl<T: OlderTable> WatchParts<T> {
-    /// The parts that an older format has.
-    pub(super) fn of(response: WatchResponse) -> Result<Self, UnpackError> {
+    /// Unpacks the fields of a watch response that older formats have.
+    ///
+    /// # Errors
+    /// [`UnpackError`] if the route table or the directory cannot be unpacked.
+    pub(super) fn from_response(response: WatchResponse) -> Result<Self, UnpackError> {
         let table = response.table.map(|packed| packed.unpack()).transpose()?;
         let directory = response.directory.map(|packed| packed.unpack());
         Ok(WatchParts {
@@ -62,7 +67,7 @@
         })
     }
 
-    /// The present form: one cell, and no zone evacuated.
+    /// Converts the fields to the current type, with a single cell and without evacuations.
     pub(super) fn into_response(self) -> WatchResponse {
         let table: Option<crate::table::RouteTable> = self.table.map(T::into);
         WatchResponse {
@@ -96,7 +101,7 @@
 }
 
 impl<W: TryFrom<WatchResponse>> TryFrom<CallsResponse> for OlderResponse<W> {
-    /// The case is one of a newer format, or its content can't be unpacked.
+    /// The response exists only in newer formats, or its content cannot be unpacked.
     type Error = ();
 
     fn try_from(response: CallsResponse) -> Result<Self, ()> {
--- a/crates/pinerill-calls/src/formats/v4.rs
+++ b/crates/pinerill-calls/src/formats/v4.rs
@@ -1,5 +1,5 @@
-//! Format 4: besides what format 5 lacks, nothing is named by its digest: whole lists are sent
-//! each time, and a directory is named by its place in one leader's changes.
+//! Format 4. It lacks everything that format 5 lacks, and digests: complete lists are sent each
+//! time, and a directory is identified by its position in the history of one leader.
 
 use std::net::SocketAddr;
 
@@ -22,7 +22,7 @@
 
 pub use super::v5::Table;
 
-/// A request.
+/// A request of format 4.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Request {
     Watch(Watch),
@@ -38,20 +38,20 @@
     RetirementState(String),
 }
 
-/// A response.
+/// A response of format 4.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Response {
-    Watch(Box<Watched>),
+    Watch(Box<OlderWatchResponse>),
     SubmitJob(SubmitOutcome),
     Results(Option<ResultPage>),
     Item(Option<Vec<u8>>),
     Leases(LeaseResponse),
-    Joined(Joined),
+    Joined(OlderJoinResponse),
     Retirement(RetirementState),
     Done,
 }
 
-/// A watch.
+/// The counterpart of [`WatchRequest`], with a position instead of digests.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Watch {
     node: String,
@@ -62,28 +62,28 @@
     wait_ms: u64,
 }
 
-/// A place in one leader's changes of the directory. Both numbers are the leader's own: who
-/// asks gives back what it was told.
+/// A position in one leader's history of directories. Both numbers are meaningful only to that
+/// leader; a node returns them unchanged in its next watch request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryPosition {
     epoch: u64,
     revision: u64,
 }
 
-/// An answer to a watch.
+/// The counterpart of [`WatchResponse`], with the processes as separate lists.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Watched {
+pub struct OlderWatchResponse {
     table: Option<Table>,
-    directory: Option<PlacedDirectory>,
+    directory: Option<PositionedDirectory>,
     controls: Vec<Control>,
     nodes: u32,
     peers: Vec<SocketAddr>,
     far_peers: Vec<SocketAddr>,
 }
 
-/// A directory with its place.
+/// A directory and its position in the leader's history.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-struct PlacedDirectory {
+struct PositionedDirectory {
     epoch: u64,
     directory: RevisedDirectory,
 }
@@ -94,30 +94,31 @@
     workers: Vec<WorkerEntry>,
 }
 
-/// Where a control machine listens.
+/// The counterpart of [`ControlAddress`], without the membership flag.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Control {
     address: SocketAddr,
     zone: String,
 }
 
-/// A control machine says that it is there.
+/// The counterpart of [`JoinRequest`], without a digest.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Join {
     machine: MachineRecord,
     known: Vec<SocketAddr>,
 }
 
-/// What the asked machine knows.
+/// The counterpart of [`JoinResponse`], without a digest.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Joined {
+pub struct OlderJoinResponse {
     known: Vec<SocketAddr>,
     leader: Option<KnownLeader>,
 }
 
 impl DirectoryPosition {
-    /// The place that names a directory by its digest.
-    fn of(digest: Digest) -> Self {
+    /// Stores a digest in a position, with which this build identifies a directory to peers of
+    /// format 4.
+    fn from_digest(digest: Digest) -> Self {
         DirectoryPosition {
             epoch: digest.number(),
             revision: 0,
@@ -125,19 +126,19 @@
     }
 }
 
-impl Watched {
-    /// The place of the directory that it tells.
+impl OlderWatchResponse {
+    /// Returns the position of the directory in this response, or `None` if it contains none.
     pub fn position(&self) -> Option<DirectoryPosition> {
-        let told = self.directory.as_ref()?;
+        let positioned = self.directory.as_ref()?;
         Some(DirectoryPosition {
-            epoch: told.epoch,
-            revision: told.directory.revision,
+            epoch: positioned.epoch,
+            revision: positioned.directory.revision,
         })
     }
 }
 
 impl Watch {
-    /// The watch of a node that holds the directory with this place.
+    /// Creates the watch request of a node that holds the directory at this position.
     pub fn new(watch: WatchRequest, directory: Option<DirectoryPosition>) -> Self {
         Watch {
             node: watch.node,
@@ -158,7 +159,7 @@
             zone: watch.zone,
             peer: watch.peer,
             table_version: watch.table_version,
-            directory: directory.map(|place| Digest::from_number(place.epoch)),
+            directory: directory.map(|position| Digest::from_number(position.epoch)),
             processes: None,
             evacuations: None,
             cell: None,
@@ -186,13 +187,13 @@
 }
 
 impl TryFrom<CallsRequest> for Request {
-    /// The case is one of a newer format.
+    /// The request exists only in newer formats.
     type Error = ();
 
     fn try_from(request: CallsRequest) -> Result<Self, ()> {
         Ok(match request {
             CallsRequest::Watch(watch) => {
-                let position = watch.directory.map(DirectoryPosition::of);
+                let position = watch.directory.map(DirectoryPosition::from_digest);
                 Request::Watch(Watch::new(watch, position))
             }
             CallsRequest::SubmitJob(job) => Request::SubmitJob(job),
@@ -243,17 +244,19 @@
 }
 
 impl TryFrom<CallsResponse> for Response {
-    /// The case is one of a newer format, or its content can't be told so.
+    /// The response exists only in newer formats, or format 4 cannot express its content.
     type Error = ();
 
     fn try_from(response: CallsResponse) -> Result<Self, ()> {
         Ok(match response {
-            CallsResponse::Watch(watch) => Response::Watch(Box::new(Watched::try_from(*watch)?)),
+            CallsResponse::Watch(watch) => {
+                Response::Watch(Box::new(OlderWatchResponse::try_from(*watch)?))
+            }
             CallsResponse::SubmitJob(outcome) => Response::SubmitJob(outcome),
             CallsResponse::Results(page) => Response::Results(page),
             CallsResponse::Item(call) => Response::Item(call),
             CallsResponse::Leases(leases) => Response::Leases(leases),
-            CallsResponse::Joined(joined) => Response::Joined(Joined {
+            CallsResponse::Joined(joined) => Response::Joined(OlderJoinResponse {
                 known: joined.known,
                 leader: joined.leader,
             }),
@@ -266,8 +269,8 @@
     }
 }
 
-impl From<Joined> for JoinResponse {
-    fn from(joined: Joined) -> Self {
+impl From<OlderJoinResponse> for JoinResponse {
+    fn from(joined: OlderJoinResponse) -> Self {
         JoinResponse {
             known_digest: Digest::of(&joined.known),
             known: joined.known,
@@ -276,28 +279,29 @@
     }
 }
 
-impl From<Watched> for WatchResponse {
-    /// Nodes of other zones are not told by their zones, so that there are no relays.
-    fn from(watched: Watched) -> Self {
-        let table: Option<RouteTable> = watched.table.map(v5::Table::into);
-        let directory = watched
+impl From<OlderWatchResponse> for WatchResponse {
+    /// Converts to the current type. Format 4 does not state the zones of nodes in other zones,
+    /// so the result has no relays.
+    fn from(response: OlderWatchResponse) -> Self {
+        let table: Option<RouteTable> = response.table.map(v5::Table::into);
+        let directory = response
             .directory
-            .map(|told| Directory::new(told.directory.workers));
+            .map(|positioned| Directory::new(positioned.directory.workers));
         let update = directory.map(|directory| DirectoryUpdate {
             digest: directory.digest(),
             change: DirectoryChange::Whole(directory.workers().to_vec()),
         });
-        let controls = watched.controls.into_iter();
+        let controls = response.controls.into_iter();
         WatchResponse {
             table: table.as_ref().map(Packed::new),
             directory: update.as_ref().map(Packed::new),
             directory_age_ms: None,
-            nodes: watched.nodes,
+            nodes: response.nodes,
             cell: CellId { index: 0, count: 1 },
-            cell_nodes: watched.nodes,
+            cell_nodes: response.nodes,
             processes: Some(Processes {
                 controls: controls.map(ControlAddress::from).collect(),
-                peers: watched.peers,
+                peers: response.peers,
                 relays: Vec::new(),
                 bridges: Vec::new(),
             }),
@@ -306,18 +310,21 @@
     }
 }
 
-impl TryFrom<WatchResponse> for Watched {
-    /// It can't be unpacked, tells a change of the directory instead of the whole, or no
-    /// processes.
+impl TryFrom<WatchResponse> for OlderWatchResponse {
+    /// The content cannot be unpacked, contains a difference instead of the whole directory, or
+    /// contains no processes.
     type Error = ();
 
     fn try_from(response: WatchResponse) -> Result<Self, ()> {
-        let parts = WatchParts::<Table>::of(response.clone()).map_err(|_| ())?;
+        let parts = WatchParts::<Table>::from_response(response.clone()).map_err(|_| ())?;
         let processes = response.processes.ok_or(())?;
         let far = processes.relays.into_iter();
-        Ok(Watched {
+        Ok(OlderWatchResponse {
             table: parts.table,
-            directory: parts.directory.map(PlacedDirectory::try_from).transpose()?,
+            directory: parts
+                .directory
+                .map(PositionedDirectory::try_from)
+                .transpose()?,
             controls: processes.controls.into_iter().map(Control::from).collect(),
             nodes: response.nodes,
             peers: processes.peers,
@@ -326,16 +333,16 @@
     }
 }
 
-impl TryFrom<DirectoryUpdate> for PlacedDirectory {
-    /// It is a change.
+impl TryFrom<DirectoryUpdate> for PositionedDirectory {
+    /// The update is a difference and not a whole directory.
     type Error = ();
 
     fn try_from(update: DirectoryUpdate) -> Result<Self, ()> {
         let DirectoryChange::Whole(workers) = update.change else {
             return Err(());
         };
-        let position = DirectoryPosition::of(update.digest);
-        Ok(PlacedDirectory {
+        let position = DirectoryPosition::from_digest(update.digest);
+        Ok(PositionedDirectory {
             epoch: position.epoch,
             directory: RevisedDirectory {
                 revision: position.revision,
@@ -346,7 +353,8 @@
 }
 
 impl From<Control> for ControlAddress {
-    /// Whether it is a member is not told; the leader answers instead.
+    /// Converts to the current type. Format 4 does not state whether the machine is a member of
+    /// the replication group, so it counts as none and the leader answers reads.
     fn from(control: Control) -> Self {
         ControlAddress {
             address: control.address,
--- a/crates/pinerill-calls/src/formats/v5.rs
+++ b/crates/pinerill-calls/src/formats/v5.rs
@@ -1,9 +1,9 @@
-//! Format 5: besides what format 6 lacks, no tenants and no loans to them.
+//! Format 5. It lacks everything that format 6 lacks, and tenants and loans to them.
 
 use serde::{Deserialize, Serialize};
 
 use super::requests::{OlderLease, OlderPutTable, OlderWatch};
-use super::v6::{TableService, Watched};
+use super::v6::{OlderWatchResponse, TableService};
 use super::v7::{self, TableRoute};
 use super::{v6, OlderTable};
 use crate::job::{CallJobId, ItemReport, NewCallJob, ResultPage};
@@ -13,7 +13,7 @@
 };
 use crate::table::{BatchLimits, RequestLimits, RouteKind, RouteTable, Target};
 
-/// A request.
+/// A request of format 5.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Request {
     Watch(OlderWatch),
@@ -30,10 +30,10 @@
     RetirementState(String),
 }
 
-/// A response.
+/// A response of format 5.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Response {
-    Watch(Box<Watched<Table>>),
+    Watch(Box<OlderWatchResponse<Table>>),
     SubmitJob(SubmitOutcome),
     Results(Option<ResultPage>),
     Item(Option<Vec<u8>>),
@@ -44,7 +44,7 @@
     Done,
 }
 
-/// A route table, of format 4 too.
+/// The route table of formats 4 and 5.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Table {
     version: u64,
@@ -53,7 +53,7 @@
     limits: RequestLimits,
 }
 
-/// A route of such a table.
+/// A route of formats 4 and 5, without the flag for public routes.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct OlderRoute {
     name: String,
@@ -93,7 +93,7 @@
 }
 
 impl TryFrom<CallsRequest> for Request {
-    /// The case is one of a newer format.
+    /// The request exists only in newer formats.
     type Error = ();
 
     fn try_from(request: CallsRequest) -> Result<Self, ()> {
@@ -137,13 +137,13 @@
 }
 
 impl TryFrom<CallsResponse> for Response {
-    /// The case is one of a newer format, or its content can't be unpacked.
+    /// The response exists only in newer formats, or its content cannot be unpacked.
     type Error = ();
 
     fn try_from(response: CallsResponse) -> Result<Self, ()> {
         Ok(match response {
             CallsResponse::Watch(watch) => {
-                let watch = Watched::try_from(*watch).map_err(|_| ())?;
+                let watch = OlderWatchResponse::try_from(*watch).map_err(|_| ())?;
                 Response::Watch(Box::new(watch))
             }
             CallsResponse::SubmitJob(outcome) => Response::SubmitJob(outcome),
--- a/crates/pinerill-calls/src/formats/v6.rs
+++ b/crates/pinerill-calls/src/formats/v6.rs
@@ -1,4 +1,5 @@
-//! Format 6: besides what format 7 lacks, no health paths and no age of the directory.
+//! Format 6. It lacks everything that format 7 lacks, and the health check paths of services and
+//! the age of the directory.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,12 +11,12 @@
 use crate::packed::UnpackError;
 use crate::table::{RequestLimits, RouteTable};
 
-/// A request.
+/// A request of format 6.
 pub type Request = OlderRequest<Table>;
-/// A response.
-pub type Response = OlderResponse<Watched<Table>>;
+/// A response of format 6.
+pub type Response = OlderResponse<OlderWatchResponse<Table>>;
 
-/// A route table.
+/// The route table of format 6.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Table {
     version: u64,
@@ -25,7 +26,7 @@
     tenants: Option<Vec<TableTenant>>,
 }
 
-/// A service of such a table.
+/// A service of formats 4 to 6, without a health check path.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) struct TableService {
     name: String,
@@ -34,9 +35,10 @@
     cache_tokens: Option<u64>,
 }
 
-/// An answer to a watch, of format 5 too.
+/// The counterpart of [`WatchResponse`] in formats 5 and 6, where `T` is the route table of the
+/// format. It lacks the age of the directory, evacuations and cells.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Watched<T> {
+pub struct OlderWatchResponse<T> {
     table: Option<T>,
     directory: Option<DirectoryUpdate>,
     nodes: u32,
@@ -45,12 +47,12 @@
 
 impl OlderTable for Table {}
 
-impl<T: OlderTable> TryFrom<WatchResponse> for Watched<T> {
+impl<T: OlderTable> TryFrom<WatchResponse> for OlderWatchResponse<T> {
     type Error = UnpackError;
 
     fn try_from(response: WatchResponse) -> Result<Self, UnpackError> {
-        let parts = WatchParts::of(response)?;
-        Ok(Watched {
+        let parts = WatchParts::from_response(response)?;
+        Ok(OlderWatchResponse {
             table: parts.table,
             directory: parts.directory,
             nodes: parts.nodes,
@@ -59,14 +61,14 @@
     }
 }
 
-impl<T: OlderTable> From<Watched<T>> for WatchResponse {
-    fn from(watched: Watched<T>) -> Self {
+impl<T: OlderTable> From<OlderWatchResponse<T>> for WatchResponse {
+    fn from(response: OlderWatchResponse<T>) -> Self {
         let parts = WatchParts {
-            table: watched.table,
-            directory: watched.directory,
+            table: response.table,
+            directory: response.directory,
             directory_age_ms: None,
-            nodes: watched.nodes,
-            processes: watched.processes,
+            nodes: response.nodes,
+            processes: response.processes,
         };
         parts.into_response()
     }
--- a/crates/pinerill-calls/src/formats/v7.rs
+++ b/crates/pinerill-calls/src/formats/v7.rs
@@ -1,4 +1,5 @@
-//! Format 7: no homes, no slow starts, no evacuations, no cells.
+//! Format 7. Compared with format 8 it lacks allowed regions of routes and tenants, slow starts
+//! of services, evacuated zones and cells.
 
 use pinerill_quota::limit::RequestLimit;
 use pinerill_types::KeyHash;
@@ -13,12 +14,12 @@
     BatchLimits, Homes, RequestLimits, Route, RouteKind, RouteTable, Service, Target, Tenant,
 };
 
-/// A request.
+/// A request of format 7.
 pub type Request = OlderRequest<Table>;
-/// A response.
-pub type Response = OlderResponse<Watched>;
+/// A response of format 7.
+pub type Response = OlderResponse<OlderWatchResponse>;
 
-/// A route table.
+/// The route table of format 7.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Table {
     pub(super) version: u64,
@@ -28,7 +29,7 @@
     pub(super) tenants: Option<Vec<TableTenant>>,
 }
 
-/// A route of such a table.
+/// A route of formats 6 and 7, without allowed regions.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) struct TableRoute {
     pub(super) name: String,
@@ -46,7 +47,7 @@
     pub(super) is_public: bool,
 }
 
-/// A service of such a table.
+/// A service of format 7, without slow start.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) struct TableService {
     pub(super) name: String,
@@ -56,7 +57,7 @@
     pub(super) health_path: Option<String>,
 }
 
-/// A tenant of such a table.
+/// A tenant of formats 6 and 7, without allowed regions.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) struct TableTenant {
     name: String,
@@ -65,9 +66,9 @@
     limit: Option<RequestLimit>,
 }
 
-/// An answer to a watch.
+/// The counterpart of [`WatchResponse`] in format 7, without evacuations and cells.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Watched {
+pub struct OlderWatchResponse {
     table: Option<Table>,
     directory: Option<DirectoryUpdate>,
     directory_age_ms: Option<u64>,
@@ -77,12 +78,12 @@
 
 impl OlderTable for Table {}
 
-impl TryFrom<WatchResponse> for Watched {
+impl TryFrom<WatchResponse> for OlderWatchResponse {
     type Error = UnpackError;
 
     fn try_from(response: WatchResponse) -> Result<Self, UnpackError> {
-        let parts = WatchParts::of(response)?;
-        Ok(Watched {
+        let parts = WatchParts::from_response(response)?;
+        Ok(OlderWatchResponse {
             table: parts.table,
             directory: parts.directory,
             directory_age_ms: parts.directory_age_ms,
@@ -92,14 +93,14 @@
     }
 }
 
-impl From<Watched> for WatchResponse {
-    fn from(watched: Watched) -> Self {
+impl From<OlderWatchResponse> for WatchResponse {
+    fn from(response: OlderWatchResponse) -> Self {
         let parts = WatchParts {
-            table: watched.table,
-            directory: watched.directory,
-            directory_age_ms: watched.directory_age_ms,
-            nodes: watched.nodes,
-            processes: watched.processes,
+            table: response.table,
+            directory: response.directory,
+            directory_age_ms: response.directory_age_ms,
+            nodes: response.nodes,
+            processes: response.processes,
         };
         parts.into_response()
     }
--- a/crates/pinerill-calls/src/lib.rs
+++ b/crates/pinerill-calls/src/lib.rs
@@ -1,13 +1,13 @@
-//! Forwarded calls: what nodes and control machines share.
+//! Types that nodes and control machines share to forward calls.
 //!
-//! A *call* is an HTTP request that a node passes on unchanged to a worker of
-//! the service that its route names. This crate has the [`table`] of routes,
-//! the [`job`]s whose items are whole calls, the [`directory`] of workers, the
-//! [`protocol`] ports through which a foreign manner of speaking is met, and
-//! the typed [`message`]s between nodes and control machines with their [`encoding`],
-//! the [`formats`] of older builds, and how a [`session`] finds the one that a peer reads.
+//! A *call* is an HTTP request that a node forwards unchanged to a worker of
+//! the service that its route specifies. This crate contains the [`table`] of routes,
+//! the [`job`]s whose items are complete calls, the [`directory`] of workers, the
+//! [`protocol`] traits that adapt external protocols, and the typed [`message`]s
+//! between nodes and control machines with their [`encoding`]. [`formats`] converts the
+//! messages of older builds, and [`session`] negotiates the format with each peer.
 //!
-//! Nothing here reads a socket, and but for [`session`] nothing reads a clock.
+//! Nothing in this crate accesses sockets, and only [`session`] reads a clock.
 
 pub mod cells;
 pub mod compression;
--- a/crates/pinerill-calls/src/message.rs
+++ b/crates/pinerill-calls/src/message.rs
@@ -1,8 +1,8 @@
-//! Messages between processes that forward calls.
+//! Messages between nodes and control machines.
 //!
-//! They travel inside the internal protocol's frames as [`Request::Calls`] and
-//! [`Response::Calls`], in the encoding of [`crate::encoding`] and, to and from processes of
-//! older builds, the forms of [`crate::formats`]. Refusals use the internal protocol's own.
+//! They are sent in frames of the internal protocol as [`Request::Calls`] and
+//! [`Response::Calls`], encoded by [`crate::encoding`]. [`crate::formats`] converts messages to
+//! and from processes of older builds. Refusals are those of the internal protocol.
 //!
 //! [`Request::Calls`]: pinerill_wire::message::Request::Calls
 //! [`Response::Calls`]: pinerill_wire::message::Response::Calls
@@ -22,322 +22,332 @@
 
 pub use crate::encoding::{decode, decode_any, encode, Format, MessageError};
 
-/// What one process asks of another.
+/// A request from a node or control machine to a control machine. The variants state the sender
+/// and the receiver.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum CallsRequest {
-    /// Node → leader, again and again: a long poll.
+    /// Node → leader, repeatedly: long poll for changes of the cluster's state.
     Watch(WatchRequest),
-    /// Node → leader.
+    /// Node → leader: stores a job so that its items are run.
     SubmitJob(Box<NewCallJob>),
-    /// Node → any control machine: results from a position on.
+    /// Node → any control machine: reads results of a job from a given position.
     ReadResults(ReadResults),
-    /// Node → any control machine: the call of an item that has no result yet.
+    /// Node → any control machine: reads the call of an item that has no result yet.
     ReadItem(ReadItem),
-    /// Node → leader: no more of the job is to run.
+    /// Node → leader: ends a job, so that no further items of it are run.
     EndJob(CallJobId),
-    /// Node → leader, again and again: renews what runs and takes more.
+    /// Node → leader, repeatedly: renews the leases of running items and requests more items.
     LeaseItems(LeaseRequest),
-    /// Node → leader: what became of items.
+    /// Node → leader: reports the outcomes of items.
     ReportItems(Vec<ItemReport>),
-    /// Node → leader: tokens for tenants' calls.
+    /// Node → leader: borrows quota tokens for tenants' calls.
     Borrow(BorrowRequest),
-    /// Control machine → control machine, again and again.
+    /// Control machine → control machine, repeatedly: announces the sender and exchanges known
+    /// addresses.
     Join(JoinRequest),
-    /// Control machine → leader: a new route table with its document.
+    /// Control machine → leader: stores a new route table and its source document.
     PutTable(Box<PutTable>),
-    /// Control machine that holds no state → leader: the operator's document.
+    /// Control machine without a replica of the state → leader: reads the document from which
+    /// the current route table was parsed.
     ReadDocument,
-    /// Control machine → leader: a control machine is to be emptied.
+    /// Control machine → leader: starts retiring the control machine with this name, so that it
+    /// can be removed.
     StartRetirement(String),
-    /// Control machine → leader: how far that is.
+    /// Control machine → leader: reads the progress of retiring the control machine with this
+    /// name.
     RetirementState(String),
-    /// Control machine → leader: workers of a zone shall get nothing new.
+    /// Control machine → leader: evacuates the zone with this name, so that its workers receive
+    /// no new requests.
     EvacuateZone(String),
-    /// Control machine → leader: the zone is in service again.
+    /// Control machine → leader: returns the zone with this name to service.
     ReturnZone(String),
-    /// Node → leader: permits for requests to workers that are still cold.
+    /// Node → leader: borrows permits for requests to workers that are still cold.
     BorrowSlowStarts(SlowStartRequest),
 }
 
-/// What is answered.
+/// The answer to a [`CallsRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum CallsResponse {
-    /// To [`CallsRequest::Watch`].
+    /// Answer to [`CallsRequest::Watch`].
     Watch(Box<WatchResponse>),
-    /// To [`CallsRequest::SubmitJob`].
+    /// Answer to [`CallsRequest::SubmitJob`].
     SubmitJob(SubmitOutcome),
-    /// To [`CallsRequest::ReadResults`]; none if there is no such job.
+    /// Answer to [`CallsRequest::ReadResults`]; `None` if the job does not exist.
     Results(Option<ResultPage>),
-    /// To [`CallsRequest::ReadItem`]: an encoded and compressed
-    /// [`crate::job::ItemCall`]; none if there is no such item.
+    /// Answer to [`CallsRequest::ReadItem`]: an encoded and compressed
+    /// [`crate::job::ItemCall`], or `None` if there is no such item.
     Item(Option<Vec<u8>>),
-    /// To [`CallsRequest::LeaseItems`].
+    /// Answer to [`CallsRequest::LeaseItems`].
     Leases(LeaseResponse),
-    /// To [`CallsRequest::Borrow`], in the order of the asks.
+    /// Answer to [`CallsRequest::Borrow`], in the order of [`BorrowRequest::asks`].
     Lent(Vec<TenantLoan>),
-    /// To [`CallsRequest::Join`].
+    /// Answer to [`CallsRequest::Join`].
     Joined(JoinResponse),
-    /// To [`CallsRequest::ReadDocument`]; none if there is no route table yet.
+    /// Answer to [`CallsRequest::ReadDocument`]; `None` if there is no route table yet.
     Document(Option<Vec<u8>>),
-    /// To [`CallsRequest::StartRetirement`] and
+    /// Answer to [`CallsRequest::StartRetirement`] and
     /// [`CallsRequest::RetirementState`].
     Retirement(RetirementState),
-    /// Carried out, durably.
+    /// The request was executed and its effect is durable.
     Done,
-    /// To [`CallsRequest::BorrowSlowStarts`]: the workers for each of which one permit is lent.
+    /// Answer to [`CallsRequest::BorrowSlowStarts`]: the workers for which the leader lends one
+    /// permit each.
     SlowStarts(Vec<WorkerId>),
 }
 
-/// Asks for what is newer than the asker knows.
+/// Long poll of a node for the parts of the cluster's state that differ from its known state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchRequest {
-    /// The asking node.
+    /// Name of the requesting node.
     pub node: String,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// Where it hears the other nodes of its zone.
+    /// Address on which the node receives messages from other nodes.
     pub peer: SocketAddr,
-    /// Version of its route table; none if it has none.
+    /// Version of the node's route table; `None` if it has none.
     pub table_version: Option<u64>,
-    /// Digest of the directory that it holds.
+    /// Digest of the directory that the node holds; `None` if it has none.
     pub directory: Option<Digest>,
-    /// Digest of the processes that it knows.
+    /// Digest of the [`Processes`] that the node has; `None` if it has none.
     pub processes: Option<Digest>,
-    /// Revision of the evacuations that it knows; none if it was told none yet.
+    /// Revision of the evacuations that the node has; `None` if it has received none yet.
     pub evacuations: Option<u64>,
-    /// The cell that it was told to be in, if it was.
+    /// The cell to which the leader has assigned the node; `None` before the first assignment.
     pub cell: Option<CellId>,
-    /// How long the answer may be held, milliseconds.
+    /// Maximum time in milliseconds for which the leader may delay the answer.
     pub wait_ms: u64,
 }
 
-/// What is newer than the asker knew.
+/// The parts of the cluster's state that differ from the requesting node's known state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// A newer route table.
+    /// The route table, if its version is higher than the node's.
     pub table: Option<Packed<RouteTable>>,
-    /// The directory, if it is another one.
+    /// The update of the directory, if the node's differs from the current one.
     pub directory: Option<Packed<DirectoryUpdate>>,
-    /// Time from the beginning of the newest whole reading of the platform list to the
-    /// arrival of the request, milliseconds; none if this leader has read none. Counted to the
-    /// arrival and not to the answer, so that the asker may count it from when it asked,
-    /// whatever the way took and however long the answer was held.
+    /// Time in milliseconds from the beginning of the latest complete reading of the platform's
+    /// worker list to the arrival of the request; `None` if this leader has not read the list.
+    /// It ends at the arrival and not at the answer, so that the node can add the time since it
+    /// sent the request, independent of network delay and of how long the answer was delayed.
     pub directory_age_ms: Option<u64>,
-    /// Nodes that watch.
+    /// Number of nodes that watch the leader.
     pub nodes: u32,
-    /// The asker's cell: whose workers the directory names.
+    /// The node's cell, whose workers the directory contains.
     pub cell: CellId,
-    /// Nodes of this cell.
+    /// Number of nodes in this cell.
     pub cell_nodes: u32,
-    /// Other processes, if they are others than the asker knows.
+    /// The other processes, if they differ from those that the node has.
     pub processes: Option<Processes>,
-    /// The evacuated zones, if the asker knows an earlier revision or none.
+    /// The evacuated zones, if the node has an earlier revision or none.
     pub evacuations: Option<Evacuations>,
 }
 
-/// The processes that a node deals with.
+/// The processes with which a node communicates.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Processes {
     /// All control machines.
     pub controls: Vec<ControlAddress>,
-    /// Where the nodes of the asker's zone and cell hear each other, its own included.
+    /// Peer addresses of the nodes in the requesting node's zone and cell, including its own.
     pub peers: Vec<SocketAddr>,
-    /// The relays of all zones in this cell.
+    /// The relays of all zones in the cell.
     pub relays: Vec<ZoneRelays>,
-    /// Nodes of other cells to which the asker hands on what all nodes must hear.
+    /// Peer addresses of nodes in other cells to which the requesting node forwards messages that
+    /// all nodes must receive.
     pub bridges: Vec<SocketAddr>,
 }
 
-/// The nodes of a zone that tell other zones what is in flight there, and hear it of them.
+/// The relays of a zone: nodes that exchange the counts of requests in flight with other zones.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneRelays {
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Where they hear other nodes.
+    /// Peer addresses of the relays.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// Where a control machine listens.
+/// Address, zone and role of a control machine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlAddress {
-    /// Its internal address.
+    /// Address at which it accepts the internal protocol.
     pub address: SocketAddr,
-    /// Its zone; empty while unknown.
+    /// Zone in which it runs; empty while unknown.
     pub zone: String,
-    /// Whether it holds the group's state and so can answer reads itself.
+    /// Whether it is a member of the replication group and thus can answer reads from its own
+    /// replica.
     pub is_member: bool,
 }
 
-/// What became of a submission.
+/// The outcome of submitting a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubmitOutcome {
-    /// The job is kept, now or since an earlier submission.
+    /// The job is stored, by this submission or an earlier one.
     Accepted,
-    /// Too many tokens of its route wait; nothing of it runs.
+    /// The queue of the job's route holds too many tokens. No item of the job runs.
     OverLimit,
-    /// The control machines' disks have no room for it; nothing of it runs.
+    /// The control machines have too little free disk space for the job. No item of it runs.
     NoRoom,
 }
 
-/// Asks for results.
+/// Long poll for results of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadResults {
-    /// The job.
+    /// The job whose results are read.
     pub job: CallJobId,
-    /// Position of the first entry.
+    /// Position of the first result to return.
     pub from: u32,
-    /// How long to wait for one, milliseconds.
+    /// Maximum time in milliseconds to wait for a result at that position.
     pub wait_ms: u64,
 }
 
-/// Asks for an item's call.
+/// Request for the call of an item.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadItem {
-    /// The job.
+    /// The job that contains the item.
     pub job: CallJobId,
-    /// The caller's name for the item.
+    /// Identifier that the caller assigned to the item.
     pub item: String,
 }
 
-/// Renews leases and takes more items.
+/// Request of a node to renew its leases and to lease more items.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// The node, in this start of its process.
+    /// Identifies the current incarnation of the node's process.
     pub node: String,
-    /// Its zone.
+    /// Zone of the node; empty if the request has a format before 8.
     pub zone: String,
-    /// Items that it holds.
+    /// Items whose leases the node holds.
     pub held: Vec<ItemRef>,
-    /// Items that it would take besides.
+    /// Maximum number of additional items to lease.
     pub want: u32,
-    /// Time that an item seldom exceeds there, milliseconds; 0 if not known.
+    /// Time in milliseconds that items on this node rarely exceed; 0 if unknown.
     pub run_ms: u64,
-    /// How long the answer may be held, milliseconds.
+    /// Maximum time in milliseconds for which the leader may delay the answer.
     pub wait_ms: u64,
 }
 
-/// Items to run and items to stop.
+/// The items that a node must run and those that it must stop.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseResponse {
-    /// Items that the node is to run.
+    /// Newly leased items, which the node must run.
     pub leased: Vec<LeasedItem>,
-    /// Items that it must stop: ended, or another node's by now.
+    /// Items that the node must stop because they have ended or another node holds the lease.
     pub stop: Vec<ItemRef>,
-    /// Slack of the tightest item that no node has, beyond what it is to keep,
-    /// milliseconds. None if no item waits that could still be on time.
+    /// Smallest slack in milliseconds of the items that no node has leased, less the reserve that
+    /// must remain. `None` if no item in the queue can still meet its deadline.
     pub backlog_slack_ms: Option<i64>,
 }
 
-/// An item to run.
+/// An item that a node has leased.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeasedItem {
-    /// The item.
+    /// Reference with which the node renews the lease and reports the outcome.
     pub item: ItemRef,
-    /// The caller's name for it.
+    /// Identifier that the caller assigned to the item.
     pub id: String,
-    /// Host of its route.
+    /// Host of the item's route.
     pub host: String,
-    /// Time until its result is due, milliseconds; negative once it is late.
+    /// Time in milliseconds until the item's deadline; negative if it has passed.
     pub due_in_ms: i64,
 }
 
-/// Asks for tokens with which tenants' calls pass.
+/// Request of a node for quota tokens that admit tenants' calls.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BorrowRequest {
-    /// The node, in this start of its process.
+    /// Identifies the current incarnation of the node's process.
     pub node: String,
-    /// What it asks for.
+    /// The tokens that the node requests, by tenant.
     pub asks: Vec<TenantAsk>,
 }
 
-/// Asks for permits with which requests go to workers that are still cold.
+/// Request of a node for permits to send requests to workers that are still cold.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlowStartRequest {
-    /// The node, in this start of its process.
+    /// Identifies the current incarnation of the node's process.
     pub node: String,
-    /// Workers for each of which it wants one.
+    /// Workers for which the node requests one permit each.
     pub workers: Vec<ColdWorker>,
 }
 
-/// A worker that is still cold.
+/// A worker that started recently and is still slow.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ColdWorker {
-    /// The worker.
+    /// The incarnation of the worker.
     pub id: WorkerId,
-    /// Its service, whose bound holds.
+    /// Name of the worker's service, whose slow-start limit applies.
     pub service: String,
 }
 
-/// A control machine says that it is there.
+/// Announcement of a control machine to another one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JoinRequest {
-    /// The asking machine.
+    /// The requesting machine.
     pub machine: MachineRecord,
-    /// Digest of the control machines that it knows.
+    /// Digest of the list of control machines that the requesting machine knows.
     pub known_digest: Digest,
-    /// These, by internal address; none if the asked machine knew the same when it last
-    /// answered.
+    /// Internal addresses of these control machines; empty if the receiver had the same list when
+    /// it last answered.
     pub known: Vec<SocketAddr>,
 }
 
-/// A control machine and its data folder.
+/// The identity of a control machine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// Identity of the data folder.
+    /// Identifier of the replica in the machine's data directory.
     pub replica: u64,
-    /// The machine's name.
+    /// Name of the machine, with which operators refer to it.
     pub name: String,
-    /// Its internal address.
+    /// Address at which the machine accepts the internal protocol.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone in which the machine runs.
     pub zone: String,
 }
 
-/// What the asked machine knows.
+/// The known state of the machine that received a [`JoinRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JoinResponse {
-    /// Digest of the control machines that it knows.
+    /// Digest of the list of control machines that the answering machine knows.
     pub known_digest: Digest,
-    /// These, by internal address; none if the asking machine knows the same.
+    /// Internal addresses of these control machines; empty if the requesting machine has the
+    /// same list.
     pub known: Vec<SocketAddr>,
-    /// The leader, if the asked machine leads or follows one. Machines that
-    /// are no members of the group get no heartbeats and learn it by this.
+    /// The leader, or `None` if the answering machine neither leads nor follows one. Machines
+    /// outside the replication group receive no heartbeats and learn the leader from this field.
     pub leader: Option<KnownLeader>,
 }
 
-/// The leader of a term.
+/// The leader that was elected for a term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownLeader {
-    /// The term.
+    /// Term of the consensus protocol.
     pub term: u64,
-    /// Internal address of its leader.
+    /// Internal address of the leader of this term.
     pub address: SocketAddr,
 }
 
-/// A route table and the document that it was read from.
+/// A route table and the document from which it was parsed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PutTable {
-    /// The table.
+    /// The parsed route table.
     pub table: RouteTable,
-    /// The operator's document, byte for byte.
+    /// The document that the operator uploaded, byte for byte.
     pub document: Vec<u8>,
 }
 
-/// How far the emptying of a control machine is.
+/// The progress of retiring a control machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RetirementState {
-    /// It still holds what is needed.
+    /// The machine still holds required state and must keep running.
     Serving,
-    /// It may be taken away.
+    /// The machine can be removed.
     Completed,
-    /// No machine has that name.
+    /// No machine has the given name.
     Unknown,
-    /// Too few machines would be left.
+    /// Too few control machines would remain.
     TooFew,
 }
 
 impl CallsRequest {
-    /// What it is for, as a label.
+    /// Returns the purpose of the request, as used in metric labels and error messages.
     pub fn purpose(&self) -> &'static str {
         match self {
             CallsRequest::Watch(_) => "watch",
--- a/crates/pinerill-calls/src/packed.rs
+++ b/crates/pinerill-calls/src/packed.rs
@@ -1,4 +1,5 @@
-//! Values that many are sent, encoded and compressed once for all of them.
+//! Encoded and compressed values, so that a value that many processes receive is encoded and
+//! compressed only once.
 
 use std::marker::PhantomData;
 
@@ -9,47 +10,47 @@
 use crate::compression::{compress, decompress, DecompressError};
 use crate::encoding::{decode, encode, MessageError};
 
-/// A value in its compressed encoding.
+/// A value of type `T` in its encoded and compressed form.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packed<T> {
     bytes: Vec<u8>,
     #[serde(skip)]
-    of: PhantomData<T>,
+    value_type: PhantomData<T>,
 }
 
-/// Bytes that are no packed value.
+/// The reason why a packed value cannot be restored.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum UnpackError {
-    /// They can't be decompressed.
+    /// The bytes cannot be decompressed.
     #[error(transparent)]
     Compression(#[from] DecompressError),
-    /// They are another value.
+    /// The decompressed bytes are not an encoded value of the expected type.
     #[error(transparent)]
     Encoding(#[from] MessageError),
 }
 
 impl<T: Serialize> Packed<T> {
-    /// Packs a value.
+    /// Encodes a value in the newest format and compresses it.
     pub fn new(value: &T) -> Self {
         Packed {
             bytes: compress(&encode(value)),
-            of: PhantomData,
+            value_type: PhantomData,
         }
     }
 }
 
 impl<T: DeserializeOwned> Packed<T> {
-    /// The value.
+    /// Restores the value.
     ///
     /// # Errors
-    /// [`UnpackError`] when the bytes are no such value.
+    /// [`UnpackError`] if the bytes are not a packed value of type `T`.
     pub fn unpack(&self) -> Result<T, UnpackError> {
         Ok(decode(&decompress(&self.bytes)?)?)
     }
 }
 
 impl<T> Packed<T> {
-    /// Its size, bytes.
+    /// Returns the compressed size in bytes.
     pub fn size(&self) -> usize {
         self.bytes.len()
     }
--- a/crates/pinerill-calls/src/session.rs
+++ b/crates/pinerill-calls/src/session.rs
@@ -1,9 +1,11 @@
-//! Finds the newest format that a peer reads, and speaks it.
+//! Negotiates the message format with peers that run another build.
 //!
-//! A peer refuses a request of a format that it does not know as one that can't be right, and
-//! has then carried out nothing. Requests go out in the newest format; after such a refusal
-//! the peer is asked something harmless in the older ones, one after the other, and what it
-//! understood is used for a while. Between processes of one build that costs nothing.
+//! Nodes and control machines send their [`CallsRequest`]s through [`PeerFormats`]. A peer
+//! refuses a request in a format that it does not know with [`RefusalCode::Invalid`] and has
+//! then executed nothing. Requests are sent in the newest format. After such a refusal the peer
+//! is probed with a request without side effects, from the newest format to the oldest, and
+//! the first format that it accepts is used for a limited time. Between processes of the same
+//! build the negotiation costs no extra request.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -19,12 +21,12 @@
 use crate::formats::{decode_response, encode_request};
 use crate::message::{CallsRequest, CallsResponse};
 
-/// Time for which a peer is spoken to in an older format before the newest is tried again:
-/// short, since the machine there may have been replaced meanwhile, and what came with a newer
-/// format, as orders about zones, is told in it alone.
-const OLDER_FOR: Duration = Duration::from_secs(2);
+/// Time for which requests to a peer use a detected older format before the newest format is
+/// attempted again. It is short because the peer may be replaced by a newer build meanwhile,
+/// and data that only newer formats carry, such as evacuations of zones, is missing until then.
+const OLDER_FORMAT_TTL: Duration = Duration::from_secs(2);
 
-/// What is read and written by peers of an older build.
+/// Remembers which peers need an older format, by address.
 #[derive(Debug, Default)]
 pub struct PeerFormats {
     older: Mutex<HashMap<SocketAddr, OlderPeer>>,
@@ -36,44 +38,51 @@
     until: BootTime,
 }
 
-/// An answer with the format in which it came.
+/// A decoded answer together with the format in which it arrived.
 #[derive(Debug)]
 pub struct FormattedAnswer {
-    /// The answer.
+    /// The answer, converted to the newest form.
     pub response: CallsResponse,
-    /// Its format.
+    /// The format in which the peer encoded the answer.
     pub format: Format,
 }
 
 impl PeerFormats {
-    /// The format in which a peer is asked.
+    /// Returns the format in which the next request to a peer is sent: an older
+    /// format if it was detected recently, otherwise the newest.
     pub fn assumed(&self, peer: SocketAddr) -> Format {
         let older = self.older.lock();
         let known = older
             .get(&peer)
-            .filter(|one| !one.until.remaining().is_zero());
-        known.map_or(Format::NEWEST, |one| one.format)
+            .filter(|entry| !entry.until.remaining().is_zero());
+        known.map_or(Format::NEWEST, |entry| entry.format)
     }
 
-    /// Takes in the format that a peer understood.
-    fn take_in(&self, peer: SocketAddr, format: Format) {
+    /// Records the format that a peer accepted. An older format is kept for
+    /// [`OLDER_FORMAT_TTL`]; the newest format removes the peer's record.
+    fn record_format(&self, peer: SocketAddr, format: Format) {
         let mut older = self.older.lock();
         if format == Format::NEWEST {
             older.remove(&peer);
             return;
         }
-        let until = BootTime::now() + OLDER_FOR;
+        let until = BootTime::now() + OLDER_FORMAT_TTL;
         let known = older.insert(peer, OlderPeer { format, until });
         if known.is_none_or(|known| known.format != format) {
             log::info!(event = "peer_reads_older_format", peer:%, format:%; "");
         }
     }
 
-    /// Sends a request in a format that the peer reads, and reads the answer.
+    /// Sends a request in a format that the peer reads. Returns the format and the undecoded
+    /// bytes of the answer.
+    ///
+    /// `encode` writes the request in a given format, and `send` transmits it to the peer. Both
+    /// may be called more than once.
     ///
     /// # Errors
-    /// As the peer refuses, as `send` fails, or [`RefusalCode::Unavailable`] if the peer's
-    /// format has no such request.
+    /// The peer's refusal, the error of `send`, [`RefusalCode::Unavailable`] if the peer's
+    /// format cannot express the request, or [`CallErrorKind::Unknown`] if the answer is not a
+    /// calls message of a known format.
     pub async fn exchange<Sent>(
         &self,
         peer: SocketAddr,
@@ -99,27 +108,30 @@
     {
         let (assumed, bytes) = match encode(assumed) {
             Ok(bytes) => (assumed, bytes),
-            // The peer may have been replaced by a newer build meanwhile.
+            // The assumed format cannot express the request. The peer may have been replaced
+            // by a newer build since that format was recorded.
             Err(_) => (Format::NEWEST, encode(Format::NEWEST)?),
         };
         let refused = match send(Request::Calls(bytes)).await {
             Err(error) if is_invalid(&error) => error,
-            answered => return bytes_of(peer, answered?),
+            answered => return calls_payload(peer, answered?),
         };
-        let found = self.find(peer, &send).await?;
+        let found = self.detect_format(peer, &send).await?;
         if found == assumed {
             return Err(refused);
         }
-        self.take_in(peer, found);
+        self.record_format(peer, found);
         let answered = send(Request::Calls(encode(found)?)).await?;
-        bytes_of(peer, answered)
+        calls_payload(peer, answered)
     }
 
-    /// The newest format that a peer reads.
+    /// Probes for the newest format that a peer reads.
     ///
     /// # Errors
-    /// Nothing was carried out: the peer is gone, or it reads no format that is known here.
-    async fn find<Sent>(
+    /// [`CallErrorKind::NotSent`] if the connection to the peer fails, and
+    /// [`RefusalCode::Unavailable`] if it reads no format that this build writes. In both cases
+    /// the caller's request was not executed.
+    async fn detect_format<Sent>(
         &self,
         peer: SocketAddr,
         send: &impl Fn(Request) -> Sent,
@@ -128,22 +140,23 @@
         Sent: Future<Output = Result<Response, CallError>>,
     {
         for format in Format::newest_first() {
-            let probe = encode_for(harmless(), format, peer)?;
+            let probe = encode_for(probe_request(), format, peer)?;
             match send(Request::Calls(probe)).await {
                 Err(error) if is_invalid(&error) => {}
-                Err(error) if !is_refusal(&error) => return Err(not_sent(peer, error)),
-                // Whatever else it answers, it has read the request.
+                Err(error) if !is_refusal(&error) => return Err(detection_failed(peer, error)),
+                // Any other answer or refusal means that the peer could decode the request.
                 Ok(_) | Err(_) => return Ok(format),
             }
         }
-        Err(refused(peer, "it reads no format that is known here"))
+        Err(refuse_unsent(peer, "it reads no format that is known here"))
     }
 
-    /// The same, whatever the peer was found to read: what arrives in an older format then says
-    /// that the sender was refused in the newer ones.
+    /// Sends a request like [`PeerFormats::ask`], but always attempts the newest format first,
+    /// even if an older format is recorded for the peer. A peer that receives the request in an
+    /// older format can then conclude that it refused the newer ones.
     ///
     /// # Errors
-    /// As [`PeerFormats::exchange`].
+    /// Same as [`PeerFormats::exchange`].
     pub async fn ask_in_newest_format<Sent>(
         &self,
         peer: SocketAddr,
@@ -156,10 +169,12 @@
         self.ask_from(Format::NEWEST, peer, request, send).await
     }
 
-    /// Sends a request that needs no care beyond its form.
+    /// Sends a request that needs no conversion other than that of its encoding, and decodes the
+    /// answer.
     ///
     /// # Errors
-    /// As [`PeerFormats::exchange`].
+    /// Same as [`PeerFormats::exchange`], and [`CallErrorKind::Unknown`] if the answer cannot
+    /// be decoded.
     pub async fn ask<Sent>(
         &self,
         peer: SocketAddr,
@@ -189,27 +204,29 @@
     }
 }
 
-/// Writes a request for a peer of a format.
+/// Encodes a request in the format that a peer reads.
 ///
 /// # Errors
-/// [`RefusalCode::Unavailable`] if that format has no such request: it was not sent.
+/// [`RefusalCode::Unavailable`] if that format cannot express the request, which is then not
+/// sent.
 pub fn encode_for(
     request: CallsRequest,
     format: Format,
     peer: SocketAddr,
 ) -> Result<Vec<u8>, CallError> {
-    encode_request(request, format).map_err(|error| refused(peer, error))
+    encode_request(request, format).map_err(|error| refuse_unsent(peer, error))
 }
 
-/// A request that the peer would not understand, and that was not sent.
-fn refused(peer: SocketAddr, reason: impl std::fmt::Display) -> CallError {
+/// Logs and returns the refusal of a request that was not sent because the peer cannot decode it.
+fn refuse_unsent(peer: SocketAddr, reason: impl std::fmt::Display) -> CallError {
     log::warn!(event = "request_not_expressible", peer:%, reason:%; "");
     let step = "write for a peer of another build";
     Refusal::new(RefusalCode::Unavailable, step, peer.to_string(), reason).into()
 }
 
-/// The peer was lost while it was asked what it reads; the request itself was not carried out.
-fn not_sent(peer: SocketAddr, error: CallError) -> CallError {
+/// Returns the error for a connection that failed during format detection. The caller's request
+/// was not executed, so the error kind is [`CallErrorKind::NotSent`].
+fn detection_failed(peer: SocketAddr, error: CallError) -> CallError {
     CallError {
         kind: CallErrorKind::NotSent,
         step: "find the peer's format".to_owned(),
@@ -218,7 +235,8 @@
     }
 }
 
-/// The error of an answer that can't be read: what was asked may have been done.
+/// Returns the error for an answer that cannot be decoded. The peer may have executed the
+/// request, so the error kind is [`CallErrorKind::Unknown`].
 pub fn unreadable_answer(peer: SocketAddr, error: impl std::fmt::Display) -> CallError {
     CallError {
         kind: CallErrorKind::Unknown,
@@ -228,8 +246,8 @@
     }
 }
 
-/// Asks for something that changes nothing and that each format has.
-fn harmless() -> CallsRequest {
+/// Returns a request without side effects that exists in every format.
+fn probe_request() -> CallsRequest {
     CallsRequest::RetirementState(String::new())
 }
 
@@ -241,7 +259,7 @@
     matches!(error.kind, CallErrorKind::Refused(_))
 }
 
-fn bytes_of(peer: SocketAddr, response: Response) -> Result<(Format, Vec<u8>), CallError> {
+fn calls_payload(peer: SocketAddr, response: Response) -> Result<(Format, Vec<u8>), CallError> {
     let Response::Calls(bytes) = response else {
         return Err(unreadable_answer(peer, "an answer of another kind"));
     };
--- a/crates/pinerill-calls/tests/cells.rs
+++ b/crates/pinerill-calls/tests/cells.rs
@@ -1,4 +1,4 @@
-//! How the workers of a fleet are divided.
+//! Partitioning of a fleet's workers into cells.
 
 use std::collections::BTreeSet;
 
@@ -23,15 +23,16 @@
 }
 
 #[test]
-fn a_fleet_of_small_services_is_one_cell() {
+fn a_fleet_of_small_services_has_one_cell() {
     let all = [workers("s", 0..200), workers("t", 0..150)].concat();
     let divided = partition(&all).divide(&all);
     assert_eq!(divided, [all]);
 }
 
-/// What a node is told doesn't grow with the fleet.
+/// Guards against cells that grow with the fleet, since each node receives the workers of its
+/// cell.
 #[test]
-fn a_cell_of_a_fleet_twice_as_large_is_no_larger() {
+fn the_size_of_cells_does_not_depend_on_the_size_of_the_fleet() {
     for size in [1_000, 10_000, 20_000, 40_000] {
         let all = workers("s", 0..size);
         let divided = partition(&all).divide(&all);
@@ -39,12 +40,17 @@
         assert!(largest <= 260, "{largest} of {size} workers in one cell");
         let smallest = divided.iter().map(Vec::len).min().unwrap_or(0);
         assert!(smallest >= 40, "{smallest} of {size} workers in one cell");
-        let named: BTreeSet<&str> = divided.iter().flatten().map(|one| one.id.name()).collect();
+        let named: BTreeSet<&str> = divided
+            .iter()
+            .flatten()
+            .map(|worker| worker.id.name())
+            .collect();
         assert_eq!(named.len(), size as usize, "each worker is in one cell");
     }
 }
 
-/// A service with few workers is in all cells of a fleet that others make large.
+/// A small service must be contained in every cell of a fleet that is divided because of another
+/// service.
 #[test]
 fn each_cell_has_workers_of_each_service() {
     let all = [workers("many", 0..5_000), workers("few", 0..30)].concat();
@@ -58,7 +64,7 @@
 }
 
 #[test]
-fn workers_that_come_and_go_move_no_others() {
+fn added_and_removed_workers_do_not_move_others() {
     let before = workers("s", 0..3_000);
     let first = partition(&before);
     let after = workers("s", 300..3_300);
@@ -74,9 +80,10 @@
     }
 }
 
-/// A size that varies round a bound doesn't divide and join cells in turn.
+/// Guards against cells that are split and merged in turn while the size of a service varies around
+/// a threshold.
 #[test]
-fn the_number_of_cells_is_kept_while_the_size_varies() {
+fn the_number_of_cells_is_stable_while_the_size_varies() {
     let mut held = partition(&workers("s", 0..801));
     let count = held.cell_count();
     for size in [790, 810, 700, 801, 600] {
@@ -87,7 +94,7 @@
 }
 
 #[test]
-fn a_cell_has_successors_where_the_number_changes() {
+fn successors_are_the_cells_after_a_split_or_merge() {
     let cell = |index, count| CellId { index, count };
     let successors = |cell: CellId, count| cell.successors(count).collect::<Vec<u32>>();
     assert_eq!(successors(cell(5, 8), 8), [5]);
--- a/crates/pinerill-calls/tests/directory.rs
+++ b/crates/pinerill-calls/tests/directory.rs
@@ -1,4 +1,5 @@
-//! Changes of the directory that lead from what is held to what is in force.
+//! Updates from the directory that a node holds to the current one, identifiers of workers, and
+//! paging of the worker list.
 
 use pinerill_calls::digest::Digest;
 use pinerill_calls::directory::{
@@ -8,7 +9,7 @@
 use pinerill_calls::message::encode;
 use proptest::prelude::*;
 
-/// When readings of the list begin, where it does not matter.
+/// Begin of all readings of the list; these tests do not depend on it.
 const READ_MS: u64 = 0;
 
 fn worker(number: u64, slots: u32) -> WorkerEntry {
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn the_order_of_the_list_is_no_change() {
+fn reordering_the_list_is_not_a_change() {
     let mut history = DirectoryHistory::default();
     assert!(history.record_reading(READ_MS, workers(0..5)));
     let mut reversed = workers(0..5);
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn one_worker_that_changes_is_told_alone() {
+fn an_update_contains_only_the_changed_worker() {
     let mut history = DirectoryHistory::default();
     history.record_reading(READ_MS, workers(0..130));
     let held = history.current().unwrap().clone();
@@ -45,7 +46,7 @@
     changed[7].state = WorkerState::Draining;
     history.record_reading(READ_MS, changed);
     let update = history.update_from(Some(held.digest())).unwrap();
-    // Some 5 kB if all of them were told.
+    // An update with all 130 workers has about 5 kB.
     assert!(
         encode(&update).len() < 100,
         "{} bytes",
@@ -57,12 +58,12 @@
 }
 
 #[test]
-fn who_holds_nothing_or_something_unknown_gets_the_whole() {
+fn without_a_retained_directory_the_update_contains_all_workers() {
     let mut history = DirectoryHistory::default();
     assert_eq!(history.update_from(None), None);
     history.record_reading(READ_MS, workers(0..3));
-    let stranger = Digest::of(&"another directory");
-    for held in [None, Some(stranger)] {
+    let unknown = Digest::of(&"another directory");
+    for held in [None, Some(unknown)] {
         let update = history.update_from(held).unwrap();
         assert!(matches!(update.change, DirectoryChange::Whole(_)));
         assert_eq!(
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn a_change_that_belongs_to_another_directory_is_refused() {
+fn a_difference_from_another_directory_is_rejected() {
     let mut history = DirectoryHistory::default();
     history.record_reading(READ_MS, workers(0..3));
     let first = history.current().unwrap().clone();
@@ -81,24 +82,24 @@
     let second = history.current().unwrap().clone();
     history.record_reading(READ_MS, workers(2..6));
     let from_second = history.update_from(Some(second.digest())).unwrap();
-    // The answer that led from the first to the second was lost.
-    let late = Directory::apply_update(Some(&first), from_second.clone());
-    assert_eq!(late, Err(DirectoryMismatch));
+    // The node missed the update from the first to the second directory.
+    let mismatched = Directory::apply_update(Some(&first), from_second.clone());
+    assert_eq!(mismatched, Err(DirectoryMismatch));
     assert_eq!(
         Directory::apply_update(None, from_second.clone()),
         Err(DirectoryMismatch)
     );
-    // The same answer twice.
+    // Applying the same update twice has no further effect.
     let third = Directory::apply_update(Some(&second), from_second.clone()).unwrap();
     let twice = Directory::apply_update(Some(&third), from_second).unwrap();
     assert_eq!(Some(&twice), history.current());
 }
 
 proptest! {
-    /// Whatever a node held and however far it lags, it ends at the present directory or is
-    /// told that the change does not fit.
+    /// For any history and any directory that a node holds, applying an update results in the
+    /// current directory or is rejected. A node never ends with a third directory.
     #[test]
-    fn an_update_leads_to_the_present_directory_or_is_refused(
+    fn an_update_results_in_the_current_directory_or_is_rejected(
         readings in prop::collection::vec(prop::collection::btree_map(0_u64..12, 1_u32..4, 0..10), 1..14),
         held_at in 0_usize..14,
         asked_at in 0_usize..14,
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn a_name_and_a_birth_are_told_apart_whatever_the_name() {
+fn a_worker_id_separates_any_name_from_the_start_time() {
     for name in ["a", "a@5", "@", "a@"] {
         for started_at_ms in [None, Some(7)] {
             let id = WorkerId::new(name, started_at_ms);
@@ -135,20 +136,20 @@
 }
 
 #[test]
-fn of_two_starts_of_one_worker_a_directory_names_the_later_one() {
-    let born = |started_at_ms: Option<u64>| WorkerEntry {
+fn a_directory_keeps_only_the_latest_incarnation_of_a_worker() {
+    let started = |started_at_ms: Option<u64>| WorkerEntry {
         id: WorkerId::new("w", started_at_ms),
         ..worker(1, 4)
     };
     for order in [[Some(5), Some(50), None], [None, Some(50), Some(5)]] {
-        let directory = Directory::new(order.map(born).to_vec());
-        let ids: Vec<&WorkerId> = directory.workers().iter().map(|one| &one.id).collect();
+        let directory = Directory::new(order.map(started).to_vec());
+        let ids: Vec<&WorkerId> = directory.workers().iter().map(|entry| &entry.id).collect();
         assert_eq!(ids, [&WorkerId::new("w", Some(50))]);
     }
 }
 
 #[test]
-fn pages_that_lead_back_to_one_another_end() {
+fn a_repeated_page_token_ends_the_reading() {
     let page = |next: &str| WorkerPage {
         workers: vec![worker(1, 4)],
         next: Some(next.to_owned()),
--- a/crates/pinerill-calls/tests/evacuation.rs
+++ b/crates/pinerill-calls/tests/evacuation.rs
@@ -1,11 +1,11 @@
-//! Evacuated zones, and regions in which requests may be served.
+//! Evacuation of zones, and restriction of requests to regions.
 
 use pinerill_calls::evacuation::Evacuations;
 use pinerill_calls::message::{decode, encode};
 use pinerill_calls::table::Homes;
 
 #[test]
-fn a_repeated_order_changes_nothing() {
+fn repeated_orders_are_idempotent() {
     let mut evacuations = Evacuations::default();
     evacuations.evacuate("a");
     let once = evacuations.clone();
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn who_missed_an_evacuation_still_hears_of_the_return() {
+fn a_return_is_visible_without_having_seen_the_evacuation() {
     let mut evacuations = Evacuations::default();
     evacuations.evacuate("a");
     let known = evacuations.revision();
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn where_route_and_tenant_both_have_homes_both_bind() {
+fn the_regions_of_route_and_tenant_are_intersected() {
     let both = homes(&["north", "south"]).and(&homes(&["south", "west"]));
     assert!(both.allow(Some("south")));
     for other in [Some("north"), Some("west"), Some("east"), None] {
@@ -46,11 +46,11 @@
 }
 
 #[test]
-fn an_empty_list_restricts_nothing() {
+fn an_empty_list_allows_every_region() {
     assert!(!homes(&[]).are_restricted());
     assert!(homes(&[]).allow(None));
     assert!(
         !homes(&["north"]).allow(None),
-        "an unknown region is no home"
+        "an unknown region is not allowed"
     );
 }
--- a/crates/pinerill-calls/tests/formats.rs
+++ b/crates/pinerill-calls/tests/formats.rs
@@ -1,4 +1,5 @@
-//! Messages of each format, as the builds of that format wrote them.
+//! Conversion of messages to and from older formats, verified against golden files that builds of
+//! each format have written.
 
 #[path = "support/golden.rs"]
 mod golden;
@@ -15,18 +16,19 @@
     decode_any, encode, CallsRequest, CallsResponse, MessageError, SlowStartRequest,
 };
 
-/// Format 4 names directories by places, which only the leader that told them knows.
-fn names_a_place(format: u8, request: &CallsRequest) -> bool {
+/// Whether the request contains a directory position, which only the leader that assigned it can
+/// interpret, so that encoding it again does not give the same bytes.
+fn has_directory_position(format: u8, request: &CallsRequest) -> bool {
     format == 4 && matches!(request, CallsRequest::Watch(_))
 }
 
 #[test]
-fn requests_are_read_and_written_as_each_build_writes_them() {
+fn requests_round_trip_in_every_format() {
     for golden in golden::all() {
         for bytes in golden.entries("request") {
             let (format, request) = decode_request(bytes).expect("a request");
             assert_eq!(format.byte(), golden.format);
-            if names_a_place(golden.format, &request) {
+            if has_directory_position(golden.format, &request) {
                 continue;
             }
             let written = encode_request(request.clone(), format).expect("expressible");
@@ -36,7 +38,7 @@
 }
 
 #[test]
-fn answers_are_read_and_written_as_each_build_writes_them() {
+fn responses_round_trip_in_every_format() {
     for golden in golden::all() {
         let format = Format::from_byte(golden.format).expect("a format");
         for bytes in golden.entries("response") {
@@ -52,17 +54,17 @@
 }
 
 #[test]
-fn a_node_gives_back_the_place_that_a_leader_of_format_4_told() {
+fn a_watch_of_format_4_returns_the_position_that_the_leader_sent() {
     let golden = &golden::all()[0];
     let answer = golden.entries("response").next().expect("an answer");
-    let place = directory_position(answer);
-    assert!(place.is_some());
+    let position = directory_position(answer);
+    assert!(position.is_some());
     let asked = golden.entries("request").next().expect("a watch");
     let (_, request) = decode_request(asked).expect("a watch");
     let CallsRequest::Watch(watch) = request else {
         panic!("{request:?}");
     };
-    let written = encode_positioned_watch(watch, place);
+    let written = encode_positioned_watch(watch, position);
     let (_, again) = decode_request(&written).expect("a watch");
     let CallsRequest::Watch(again) = again else {
         panic!("{again:?}");
@@ -71,7 +73,7 @@
 }
 
 #[test]
-fn directories_are_named_as_builds_of_each_format_name_them() {
+fn directory_digests_equal_those_of_builds_of_each_format() {
     for golden in golden::all().into_iter().skip(1) {
         let format = Format::from_byte(golden.format).expect("a format");
         let answer = golden.entries("response").next().expect("an answer");
@@ -93,7 +95,7 @@
 }
 
 #[test]
-fn calls_of_items_are_read_whatever_build_sent_them() {
+fn calls_of_items_are_decoded_and_converted_in_every_format() {
     for golden in golden::all() {
         let stored = golden.entries("item_call").next().expect("a call");
         let call: ItemCall = decode_any(stored).expect("a call");
@@ -108,7 +110,7 @@
 }
 
 #[test]
-fn what_an_older_build_does_not_know_is_not_sent_to_it() {
+fn messages_that_an_older_format_lacks_are_not_expressible() {
     let permits = || {
         CallsRequest::BorrowSlowStarts(SlowStartRequest {
             node: "n".to_owned(),
@@ -128,7 +130,7 @@
 }
 
 #[test]
-fn bytes_of_an_unknown_format_are_named_by_it() {
+fn an_unsupported_format_is_reported_with_its_byte() {
     let mut bytes = encode(&CallsRequest::ReadDocument);
     for byte in [0, 3, 9, 255] {
         bytes[0] = byte;
@@ -142,7 +144,7 @@
 }
 
 #[test]
-fn messages_that_are_cut_off_are_refused() {
+fn truncated_messages_are_rejected() {
     for golden in golden::all() {
         for bytes in golden.entries("request") {
             for length in 0..bytes.len() {
--- a/crates/pinerill-calls/tests/messages.rs
+++ b/crates/pinerill-calls/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Encoding of messages, and settings files.
+//! Encoding, compression and packing of messages, and parsing of the forwarding settings.
 
 use pinerill_calls::compression::{compress, decompress};
 use pinerill_calls::job::{CallJobId, ItemRef};
@@ -22,13 +22,13 @@
 }
 
 #[test]
-fn a_message_comes_back_as_it_was() {
+fn a_message_round_trips() {
     let decoded: Result<CallsRequest, MessageError> = decode(&encode(&request()));
     assert_eq!(decoded, Ok(request()));
 }
 
 #[test]
-fn another_version_is_refused_by_its_number() {
+fn an_unsupported_format_is_rejected_with_its_byte() {
     let mut bytes = encode(&request());
     bytes[0] = 9;
     let decoded: Result<CallsRequest, MessageError> = decode(&bytes);
@@ -39,19 +39,19 @@
 
 proptest! {
     #[test]
-    fn bytes_of_a_stranger_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_never_cause_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = decode::<CallsRequest>(&bytes);
         let _ = decompress(&bytes);
     }
 
     #[test]
-    fn compression_loses_nothing(bytes in proptest::collection::vec(any::<u8>(), 0..2_000)) {
+    fn compressed_bytes_round_trip(bytes in proptest::collection::vec(any::<u8>(), 0..2_000)) {
         prop_assert_eq!(decompress(&compress(&bytes)).ok(), Some(bytes));
     }
 }
 
 #[test]
-fn the_example_is_a_settings_file() {
+fn the_example_settings_are_valid() {
     let settings = ForwardingSettings::read(EXAMPLE).expect("the example is sound");
     assert_eq!(
         settings.control.map(|control| control.least_voters()),
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_seed_port_takes_the_place_of_the_seeds_own() {
+fn the_seed_port_setting_overrides_the_ports_of_the_seeds() {
     let text = EXAMPLE.replace("stop_s", "seed_port = 99\nstop_s");
     let node = ForwardingSettings::read(&text).expect("sound").node;
     let seeds = node.expect("the example has a node").seed_addresses();
@@ -69,22 +69,22 @@
 }
 
 #[test]
-fn other_machines_are_told_the_advertised_address() {
-    let told = |text: &str| {
+fn the_advertised_address_defaults_to_the_listen_address() {
+    let advertised = |text: &str| {
         let control = ForwardingSettings::read(text).expect("sound").control;
         let control = control.expect("the example has a control machine");
         control.advertised_address().to_string()
     };
-    assert_eq!(told(EXAMPLE), "10.0.0.1:7720");
+    assert_eq!(advertised(EXAMPLE), "10.0.0.1:7720");
     let text = EXAMPLE.replace(
         "found = false",
         "advertise = \"10.0.0.8:99\"\nfound = false",
     );
-    assert_eq!(told(&text), "10.0.0.8:99");
+    assert_eq!(advertised(&text), "10.0.0.8:99");
 }
 
 #[test]
-fn a_wrong_field_is_named() {
+fn an_invalid_value_is_reported_with_its_field() {
     let cases = [
         ("name = \"node-1\"", "name = \"\"", "node.name"),
         (
@@ -113,14 +113,14 @@
 }
 
 #[test]
-fn an_unknown_field_is_refused() {
+fn an_unknown_field_is_rejected() {
     let text = EXAMPLE.replace("found = false", "fuond = false");
     let read = ForwardingSettings::read(&text);
     assert!(matches!(read, Err(SettingsError::Malformed(message)) if message.contains("fuond")));
 }
 
 #[test]
-fn a_packed_value_comes_back_and_other_bytes_do_not() {
+fn a_packed_value_round_trips_and_other_bytes_are_rejected() {
     let names: Vec<String> = (0..200).map(|number| format!("worker-{number}")).collect();
     let packed = Packed::new(&names);
     assert!(packed.size() < encode(&names).len() / 2);
--- a/crates/pinerill-calls/tests/session.rs
+++ b/crates/pinerill-calls/tests/session.rs
@@ -1,4 +1,4 @@
-//! What a process asks peers of other builds, and what it makes of their answers.
+//! Negotiation of the message format with peers of other builds.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -10,11 +10,11 @@
 use pinerill_wire::api::{CallError, CallErrorKind};
 use pinerill_wire::message::{Refusal, RefusalCode, Request, Response};
 
-/// A peer that reads one format alone, as builds before this one do, or none.
+/// A peer that supports a single format, or none that this build knows.
 struct Peer {
-    reads: Option<Format>,
-    /// Requests that it answers before it is lost.
-    lives: usize,
+    supported: Option<Format>,
+    /// Number of requests that the peer answers before its connection closes.
+    answers_until_lost: usize,
     asked: Mutex<Vec<Format>>,
 }
 
@@ -27,10 +27,10 @@
 }
 
 impl Peer {
-    fn new(reads: Option<Format>) -> Self {
+    fn new(supported: Option<Format>) -> Self {
         Peer {
-            reads,
-            lives: usize::MAX,
+            supported,
+            answers_until_lost: usize::MAX,
             asked: Mutex::default(),
         }
     }
@@ -42,7 +42,7 @@
         let format = format_of(&bytes).expect("a format");
         let mut asked = self.asked.lock().expect("not poisoned");
         asked.push(format);
-        if asked.len() > self.lives {
+        if asked.len() > self.answers_until_lost {
             return Err(CallError {
                 kind: CallErrorKind::Unknown,
                 step: "await answer".to_owned(),
@@ -50,7 +50,7 @@
                 message: "connection closed".to_owned(),
             });
         }
-        if self.reads != Some(format) {
+        if self.supported != Some(format) {
             return Err(refusal(RefusalCode::Invalid));
         }
         let (_, request) = decode_request(&bytes).expect("a request");
@@ -85,7 +85,7 @@
 }
 
 #[tokio::test]
-async fn each_format_is_found_and_kept() {
+async fn the_format_of_a_peer_is_detected_and_remembered() {
     for format in Format::newest_first() {
         let (formats, peer) = (PeerFormats::default(), Peer::new(Some(format)));
         for _ in 0..2 {
@@ -96,13 +96,17 @@
         let again = asked.last().copied();
         assert_eq!(again, Some(format.byte()), "{asked:?}");
         if format == Format::NEWEST {
-            assert_eq!(asked.len(), 2, "nothing is added between equal builds");
+            assert_eq!(
+                asked.len(),
+                2,
+                "no extra request is sent between equal builds"
+            );
         }
     }
 }
 
 #[tokio::test]
-async fn a_request_that_is_invalid_for_the_peer_too_is_refused_as_such() {
+async fn the_refusal_of_an_invalid_request_is_returned_unchanged() {
     let (formats, peer) = (PeerFormats::default(), Peer::new(Some(Format::NEWEST)));
     let request = CallsRequest::StartRetirement("m".to_owned());
     let refused = ask(&formats, &peer, request).await;
@@ -110,7 +114,7 @@
 }
 
 #[tokio::test]
-async fn a_peer_of_an_unknown_build_is_never_taken_for_a_refusal_for_good() {
+async fn a_peer_without_a_common_format_causes_a_retryable_refusal() {
     let (formats, peer) = (PeerFormats::default(), Peer::new(None));
     let error = ask(&formats, &peer, end_job()).await.expect_err("refused");
     let CallErrorKind::Refused(refusal) = error.kind else {
@@ -120,10 +124,10 @@
 }
 
 #[tokio::test]
-async fn a_peer_that_is_lost_while_it_is_asked_what_it_reads_did_nothing() {
-    for lives in 1..5 {
+async fn a_connection_lost_during_format_detection_is_reported_as_not_sent() {
+    for answers_until_lost in 1..5 {
         let peer = Peer {
-            lives,
+            answers_until_lost,
             ..Peer::new(Some(Format::OLDEST))
         };
         let lost = ask(&PeerFormats::default(), &peer, end_job()).await;
@@ -137,7 +141,7 @@
 }
 
 #[tokio::test]
-async fn a_peer_that_was_replaced_by_a_newer_build_is_asked_what_only_that_knows() {
+async fn a_request_that_the_remembered_format_lacks_is_sent_in_the_newest_format() {
     let formats = PeerFormats::default();
     let older = Peer::new(Some(Format::OLDEST));
     ask(&formats, &older, end_job()).await.expect("an answer");
--- a/crates/pinerill-calls/tests/support/golden.rs
+++ b/crates/pinerill-calls/tests/support/golden.rs
@@ -1,4 +1,4 @@
-//! Bytes that builds of each format wrote.
+//! Loads the golden files: bytes that a build of each format has written.
 
 const FILES: [(u8, &str); 5] = [
     (4, include_str!("../golden/format-4.txt")),
@@ -8,39 +8,40 @@
     (8, include_str!("../golden/format-8.txt")),
 ];
 
-/// What the build of one format wrote.
+/// The golden file of one format.
 pub struct Golden {
     pub format: u8,
     lines: Vec<(String, Vec<u8>)>,
 }
 
 impl Golden {
-    /// All bytes of a kind, in order.
+    /// Returns the encoded values of a kind, such as `request`, in the order of the file.
     pub fn entries<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = &'a [u8]> {
         let lines = self.lines.iter();
         lines
-            .filter(move |(one, _)| one == kind)
+            .filter(move |(line_kind, _)| line_kind == kind)
             .map(|(_, bytes)| bytes.as_slice())
     }
 }
 
-/// Those of all formats.
+/// Loads the golden files of all formats, from the oldest to the newest.
 pub fn all() -> Vec<Golden> {
     let files = FILES.iter();
     files
         .map(|(format, text)| Golden {
             format: *format,
-            lines: text.lines().filter_map(line).collect(),
+            lines: text.lines().filter_map(parse_line).collect(),
         })
         .collect()
 }
 
-fn line(line: &str) -> Option<(String, Vec<u8>)> {
+/// Parses a line with a kind and hexadecimal bytes. Returns `None` for comments.
+fn parse_line(line: &str) -> Option<(String, Vec<u8>)> {
     let (kind, digits) = line.split_once(' ').filter(|(kind, _)| *kind != "#")?;
-    Some((kind.to_owned(), bytes(digits)))
+    Some((kind.to_owned(), parse_hex(digits)))
 }
 
-fn bytes(digits: &str) -> Vec<u8> {
+fn parse_hex(digits: &str) -> Vec<u8> {
     let pairs = digits.as_bytes().chunks(2);
     pairs
         .map(|pair| {
