--- a/crates/pinerill-calls/src/cells.rs
+++ b/crates/pinerill-calls/src/cells.rs
@@ -20,8 +20,8 @@
 
 use crate::directory::WorkerEntry;
 
-/// Maximum mean number of workers in a part of a service. Nodes report to each
-/// other the requests in flight at as many workers.
+/// Maximum mean number of workers in a part of a service. Nodes report the
+/// requests in flight at up to as many workers to each other.
 const MAX_MEAN_PART_SIZE: usize = 200;
 /// Mean number of workers per part below which the number of parts is halved. It is well below
 /// half of [`MAX_MEAN_PART_SIZE`], so that small variations of a service's size do not cause
--- a/crates/pinerill-calls/src/directory.rs
+++ b/crates/pinerill-calls/src/directory.rs
@@ -2,8 +2,8 @@
 //!
 //! A control machine collects the pages of the list in a [`ListReading`] and records the result
 //! in a [`DirectoryHistory`], which computes [`DirectoryUpdate`]s for nodes. A node applies an
-//! update to the [`Directory`] that it holds. Digests ensure that a change is never applied to a
-//! directory for which it was not computed.
+//! update to the [`Directory`] that it holds and verifies the digest of the result, which detects
+//! differences that were computed for another directory.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
