--- a/crates/pinerill-quota/src/borrower.rs
+++ b/crates/pinerill-quota/src/borrower.rs
@@ -79,7 +79,7 @@
     active_ms: u64,
     /// Time until which the tenant's limit is known to be reached.
     limited_until_ms: u64,
-    /// Time until the next token, as last reported by the lender, in milliseconds.
+    /// Time between two tokens, as last reported by the lender, in milliseconds.
     next_token_ms: u64,
     /// Number of requests rejected since the limit was reached.
     rejected: u64,
@@ -195,7 +195,7 @@
         state.reserved = state.reserved.min(state.waiting);
     }
 
-    /// Returns the token of a request that was admitted at `passed_ms` and never ran. The
+    /// Restores the token of a request that was admitted at `passed_ms` and never ran. The
     /// lender may already count the token as spent, so it is only restored if it was taken
     /// recently and the node holds less than its target.
     pub fn return_token(&mut self, now_ms: u64, tenant: &str, passed_ms: u64) {
@@ -293,8 +293,8 @@
         self.tenants.entry(tenant.to_owned()).or_default()
     }
 
-    /// Evicts tenants without waiting requests, unexpired tokens or recent requests, if there
-    /// are too many tenants.
+    /// Evicts tenants without waiting requests, unexpired tokens or recent requests if the
+    /// number of tenants has reached the threshold.
     fn evict_idle(&mut self, now_ms: u64) {
         if self.tenants.len() < EVICTION_THRESHOLD {
             return;
