--- a/crates/pinerill-forward/src/call/attempt.rs
+++ b/crates/pinerill-forward/src/call/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one worker, up to the head of its answer.
+//! One attempt at one worker, up to the head of the response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,54 +15,61 @@
 use crate::exchange::{BreakReason, Exchange, SendFailure, StartedAnswer};
 use crate::node::{Node, Occupied};
 
-/// Pause before workers are looked for once more when there is none.
-const NO_WORKER_PAUSE: Duration = Duration::from_millis(25);
+/// Delay before the next attempt when no worker is available.
+const NO_WORKER_RETRY_DELAY: Duration = Duration::from_millis(25);
 
-/// Attempts of a call so far: which workers are not to be asked again.
+/// The attempts of a call so far, with the workers that later attempts avoid.
 #[derive(Debug, Default)]
 pub struct Attempts {
-    /// Workers that failed it.
+    /// Workers at which an attempt failed.
     failed: Vec<WorkerId>,
-    /// Whether anything was sent to a worker.
+    /// Whether an attempt was already made at some worker.
     sent: bool,
 }
 
-/// An attempt whose answer has begun.
+/// An attempt whose response head has arrived.
 pub struct Attempted {
-    /// The answer.
+    /// Head of the response, with the exchange that delivers the body.
     pub sent: StartedAnswer,
-    /// The place at the worker; free again when dropped.
-    pub place: Occupied,
-    /// The run, which is to be told its end.
+    /// The slot at the worker; freed when dropped.
+    pub slot: Occupied,
+    /// The run of the request at the worker. Its end must be reported to it; a run that is dropped
+    /// before counts as abandoned by the caller.
     pub run: Run,
 }
 
 impl Attempts {
-    /// Tries one worker, once there is a place at one.
+    /// Waits for a free slot at a worker and sends the call there. `resume_after` is the id of the
+    /// event after which the response should continue. `answer_timeout` limits the wait for the
+    /// response head; without it, the call's deadline applies alone.
     ///
     /// # Errors
-    /// How the attempt ended without an answer.
+    /// Returns how the attempt ended if there is no response head, or if the worker states that
+    /// it did not run the call.
     pub async fn attempt(
         &mut self,
         node: &Arc<Node>,
         call: &Call,
         resume_after: Option<u64>,
-        patience: Option<Duration>,
+        answer_timeout: Option<Duration>,
         record: &mut CallRecord,
     ) -> Result<Attempted, AttemptEnd> {
-        let Placed { chosen, place } = tokio::select! {
-            // A request that is known already is not even placed.
+        let Placed {
+            chosen,
+            place: slot,
+        } = tokio::select! {
+            // A request that is already known to crash workers gets no slot.
             biased;
             () = node.until_blocked(&call.identity) => return Err(AttemptEnd::CrashesWorkers),
-            placed = self.place(node, call, record) => placed?,
+            placed = self.wait_for_slot(node, call, record) => placed?,
         };
-        record.attempt(&chosen);
+        record.begin_attempt(&chosen);
         self.sent = true;
         let worker = chosen.entry.clone();
-        let permit = place.permit();
+        let permit = slot.permit();
         if let Err(reason) = node.confirm(&worker, permit).await {
             record.attempt_failed(&reason);
-            return Err(self.not_sent(node, &worker.id, call, &reason));
+            return Err(self.handle_not_sent(node, &worker.id, call, &reason));
         }
         let run = Run::begin(node, &worker, &call.identity, resume_after);
         let facts = AttemptFacts {
@@ -81,52 +88,53 @@
             || node.may_send(&worker, permit),
         );
         let asked_ms = node.now_ms();
-        let limit = patience.map_or(call.deadline, |patience| {
-            call.deadline.min(BootTime::now() + patience)
+        let limit = answer_timeout.map_or(call.deadline, |answer_timeout| {
+            call.deadline.min(BootTime::now() + answer_timeout)
         });
         let answered = timeout_at(limit, begun).await;
         let sent = match answered {
             Ok(Ok(sent)) => sent,
             Ok(Err(failure)) => {
                 record.attempt_failed(&failure.reason);
-                return Err(self.lost(node, run, call, failure));
+                return Err(self.handle_send_failure(node, run, call, failure));
             }
             Err(_) => {
                 let reason = BreakReason::Silent;
                 record.attempt_failed(&reason);
                 let failure = SendFailure { sent: true, reason };
-                return Err(self.lost(node, run, call, failure));
+                return Err(self.handle_send_failure(node, run, call, failure));
             }
         };
         node.heard_worker(asked_ms, &worker.id, &sent.answer);
         if let Verdict::NotRun(reason) = sent.answer.verdict {
             record.attempt_failed(&reason);
             run.not_begun();
-            self.refused(node, &worker.id, reason, sent).await;
+            self.handle_not_run(node, &worker.id, reason, sent).await;
             return Err(AttemptEnd::NotRun);
         }
-        call.ran();
-        Ok(Attempted { sent, place, run })
+        call.mark_run();
+        Ok(Attempted { sent, slot, run })
     }
 
-    /// Notes that a worker failed the call after it was sent there.
-    pub fn broke(&mut self, node: &Node, run: Run, call: &Call, reason: &BreakReason) {
+    /// Records that a worker failed after the call was sent there, and excludes it from further
+    /// attempts.
+    pub fn run_failed(&mut self, node: &Node, run: Run, call: &Call, reason: &BreakReason) {
         let worker = run.worker().clone();
         log::info!(
             event = "attempt_broke", id = call.head.id.as_str(), worker = worker.as_str(),
             request:% = call.identity.fingerprint(), reach = run.reach(), reason:% = reason; ""
         );
         run.broke(reason);
-        self.failed_at(node, worker, reason);
+        self.exclude_worker(node, worker, reason);
     }
 
-    fn failed_at(&mut self, node: &Node, worker: WorkerId, reason: &BreakReason) {
+    fn exclude_worker(&mut self, node: &Node, worker: WorkerId, reason: &BreakReason) {
         node.worker_failed(&worker, reason);
         self.failed.push(worker);
     }
 
-    /// Waits for a place at a worker.
-    async fn place(
+    /// Waits for a free slot at a worker and records the waiting time.
+    async fn wait_for_slot(
         &self,
         node: &Arc<Node>,
         call: &Call,
@@ -135,31 +143,38 @@
         let began = BootTime::now();
         let fresh = !self.sent;
         let placed = node.dispatcher.place(node, call, &self.failed, fresh).await;
-        record.waited(began.elapsed());
+        record.add_wait(began.elapsed());
         match placed {
             Ok(placed) => Ok(placed),
-            Err(Unplaced::SentAway { retry_after }) => Err(AttemptEnd::SentAway { retry_after }),
+            Err(Unplaced::SentAway { retry_after }) => Err(AttemptEnd::Rejected { retry_after }),
             Err(Unplaced::OutOfTime) => Err(AttemptEnd::NotRun),
             Err(Unplaced::NoWorker) => {
-                sleep(NO_WORKER_PAUSE.min(call.remaining())).await;
+                sleep(NO_WORKER_RETRY_DELAY.min(call.remaining())).await;
                 Err(AttemptEnd::NotRun)
             }
         }
     }
 
-    fn lost(&mut self, node: &Node, run: Run, call: &Call, failure: SendFailure) -> AttemptEnd {
+    fn handle_send_failure(
+        &mut self,
+        node: &Node,
+        run: Run,
+        call: &Call,
+        failure: SendFailure,
+    ) -> AttemptEnd {
         if failure.sent {
-            call.ran();
-            self.broke(node, run, call, &failure.reason);
+            call.mark_run();
+            self.run_failed(node, run, call, &failure.reason);
             return AttemptEnd::MayHaveRun;
         }
         let worker = run.worker().clone();
         run.not_begun();
-        self.not_sent(node, &worker, call, &failure.reason)
+        self.handle_not_sent(node, &worker, call, &failure.reason)
     }
 
-    /// Nothing of the call went to a worker; another one is to be tried.
-    fn not_sent(
+    /// Records that nothing of the call was sent to a worker and excludes the worker, so that the
+    /// next attempt goes to another one.
+    fn handle_not_sent(
         &mut self,
         node: &Node,
         worker: &WorkerId,
@@ -170,20 +185,26 @@
             event = "attempt_not_sent", id = call.head.id.as_str(), worker = worker.as_str(),
             reason:% = reason; ""
         );
-        self.failed_at(node, worker.clone(), reason);
+        self.exclude_worker(node, worker.clone(), reason);
         AttemptEnd::NotRun
     }
 
-    async fn refused(&self, node: &Node, worker: &str, reason: NotRunReason, sent: StartedAnswer) {
+    async fn handle_not_run(
+        &self,
+        node: &Node,
+        worker: &str,
+        reason: NotRunReason,
+        sent: StartedAnswer,
+    ) {
         match reason {
             NotRunReason::Full => node.worker_full(worker),
             NotRunReason::OtherWorker => node.worker_replaced(worker),
         }
-        // The connection is kept if the refusal could be read to its end.
-        let limit = REFUSAL_LIMIT;
+        // The connection returns to the pool if the refusal can be read to its end.
+        let limit = MAX_REFUSAL_BYTES;
         let _ = sent.exchange.read_whole(node.connections(), limit).await;
     }
 }
 
-/// Bytes of a refusal's body that are read.
-const REFUSAL_LIMIT: usize = 64 << 10;
+/// Maximum number of bytes of a refusal's body that are read.
+const MAX_REFUSAL_BYTES: usize = 64 << 10;
--- a/crates/pinerill-forward/src/call/decision.rs
+++ b/crates/pinerill-forward/src/call/decision.rs
@@ -1,52 +1,54 @@
-//! What follows an attempt. Pure: the one place that decides whether a call
-//! may be sent again.
+//! Retry decisions after an attempt. Pure.
+//!
+//! This is the only place that decides whether a call may be sent to a worker again.
 
 use std::time::Duration;
 
 use pinerill_calls::protocol::Refusal;
 use pinerill_calls::table::RouteKind;
 
-/// When a caller shall come back after a refusal for want of room, if nothing better
-/// is known.
+/// Retry delay given to a caller that was refused for lack of capacity, if there is no better
+/// estimate.
 pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// How an attempt ended without an answer for the caller.
+/// How an attempt ended that gave no response for the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// Nothing was sent, or the worker promised that it did not run.
+    /// Nothing was sent, or the worker guarantees that the call did not run.
     NotRun,
-    /// It was sent nowhere, since it can't be served in time.
-    SentAway {
-        /// When to come back.
+    /// Admission rejected the call because it can't be served in time; nothing was sent.
+    Rejected {
+        /// Time after which the caller should retry.
         retry_after: Duration,
     },
-    /// It was sent nowhere, since it is known to crash the workers that run it.
+    /// The call is known to crash the workers that run it; nothing was sent.
     CrashesWorkers,
-    /// The worker may have run it; it broke off, was silent or answered
-    /// nonsense.
+    /// The worker may have run the call: it broke off, did not respond in time or sent an invalid
+    /// response.
     MayHaveRun,
 }
 
-/// What follows.
+/// The step that follows an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Next {
-    /// Another attempt, at another worker if there is one.
-    Again,
-    /// No other attempt.
+    /// Make another attempt, at another worker if there is one.
+    Retry,
+    /// Make no other attempt and refuse the call.
     Refuse(Refusal),
 }
 
-/// What happened to a call so far.
+/// Outcome of the attempts of a call so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallProgress {
     kind: RouteKind,
-    /// Workers on which it may still run.
+    /// Number of further workers on which the call may run.
     runs_left: u32,
     may_have_run: bool,
 }
 
 impl CallProgress {
-    /// A call that was not sent yet.
+    /// Returns the progress of a call that has not been sent yet. `attempts` is the route's limit
+    /// on the workers that may run one call, and counts as 1 if it is 0.
     pub fn new(kind: RouteKind, attempts: u32) -> Self {
         CallProgress {
             kind,
@@ -55,16 +57,16 @@
         }
     }
 
-    /// Whether a worker may have run it.
+    /// Returns whether a worker may have run the call.
     pub fn may_have_run(&self) -> bool {
         self.may_have_run
     }
 
-    /// Takes in the end of an attempt. `has_time` tells whether another one
-    /// could still end in time.
-    pub fn after(&mut self, end: AttemptEnd, has_time: bool) -> Next {
-        if let AttemptEnd::SentAway { retry_after } = end {
-            return Next::Refuse(self.sent_away(retry_after));
+    /// Records the end of an attempt and returns the next step. `has_time` says whether another
+    /// attempt could still end before the deadline.
+    pub fn next_after(&mut self, end: AttemptEnd, has_time: bool) -> Next {
+        if let AttemptEnd::Rejected { retry_after } = end {
+            return Next::Refuse(self.rejection(retry_after));
         }
         if end == AttemptEnd::CrashesWorkers {
             return Next::Refuse(Refusal::CrashesWorkers);
@@ -74,25 +76,25 @@
             self.runs_left = self.runs_left.saturating_sub(1);
         }
         if self.may_be_sent() && has_time {
-            return Next::Again;
+            return Next::Retry;
         }
         Next::Refuse(self.refusal())
     }
 
-    /// Whether it may be sent to a worker: it never ran, or it may run again
-    /// and on one more worker.
+    /// Returns whether the call may be sent to a worker: either it has certainly not run, or its
+    /// route allows repetition and one more worker.
     pub fn may_be_sent(&self) -> bool {
         !self.may_have_run || (self.kind.may_repeat() && self.runs_left > 0)
     }
 
-    /// Whether the call may go on at another worker if the one that has it now
-    /// is left. Silence is no reason to leave one that nobody can follow.
-    pub fn may_go_on_elsewhere(&self) -> bool {
+    /// Returns whether the call may continue at another worker if the current one is abandoned.
+    /// If not, an unresponsive worker is waited for until the deadline.
+    pub fn may_fail_over(&self) -> bool {
         self.kind.may_repeat() && self.runs_left > 1
     }
 
-    /// What the caller is told if nothing else follows. Only a call that no
-    /// worker can have begun is called not run.
+    /// Returns the refusal for a call that gets no further attempt. Only a call that no worker can
+    /// have begun is reported as not run.
     pub fn refusal(&self) -> Refusal {
         if self.may_have_run {
             return Refusal::WorkerFailed("it broke off or was silent");
@@ -103,7 +105,7 @@
         }
     }
 
-    fn sent_away(self, retry_after: Duration) -> Refusal {
+    fn rejection(self, retry_after: Duration) -> Refusal {
         if self.may_have_run {
             return self.refusal();
         }
@@ -113,8 +115,8 @@
         }
     }
 
-    /// What the caller is told when the time is up.
-    pub fn out_of_time(&self) -> Refusal {
+    /// Returns the refusal for a call whose deadline is reached.
+    pub fn timeout_refusal(&self) -> Refusal {
         if self.may_have_run {
             return Refusal::TimedOut;
         }
--- a/crates/pinerill-forward/src/call/mod.rs
+++ b/crates/pinerill-forward/src/call/mod.rs
@@ -1,13 +1,13 @@
-//! A caller's call from its route to its answer.
+//! Execution of an admitted call: attempts at workers until the caller has a response.
 //!
-//! | module | job |
+//! | module | purpose |
 //! |---|---|
-//! | `decision` | what follows an attempt; pure |
-//! | `request` | what a call is, for all its attempts |
-//! | `attempt` | one attempt at one worker, up to the head of its answer |
-//! | `online` | attempts until there is an answer |
-//! | `relay` | events to the caller, continued at another worker if need be |
-//! | `record` | the log line of a call |
+//! | `decision` | decides whether a call is retried or refused after an attempt; pure |
+//! | `request` | the parts of a call that are the same for every attempt, and its timeouts |
+//! | `attempt` | one attempt at one worker, up to the head of the response |
+//! | `online` | the loop of attempts, and responses that are buffered as a whole |
+//! | `relay` | event streams to the caller, with fail-over to another worker |
+//! | `record` | log line and metrics of a call |
 
 mod attempt;
 pub mod decision;
--- a/crates/pinerill-forward/src/call/online.rs
+++ b/crates/pinerill-forward/src/call/online.rs
@@ -1,4 +1,4 @@
-//! Attempts until there is an answer.
+//! Runs a call: makes attempts until there is a response or a refusal.
 
 use std::sync::Arc;
 
@@ -14,31 +14,34 @@
 use crate::exchange::BreakReason;
 use crate::node::Node;
 
-/// Longest answer that is read whole before it is passed on.
-const WHOLE_ANSWER_LIMIT: usize = 16 << 20;
+/// Largest response body, in bytes, that is buffered before it is passed on.
+const MAX_BUFFERED_ANSWER_BYTES: usize = 16 << 20;
 
-/// Runs a call.
+/// Runs a call. An event stream is returned as soon as its head has arrived; any other response
+/// is buffered first.
 ///
 /// # Errors
-/// A refusal for the caller.
+/// Returns the refusal for the caller if no attempt gave a response.
 pub async fn run_call(node: Arc<Node>, call: Call) -> Result<Response<AnswerBody>, Refusal> {
     let mut record = CallRecord::begin(&node, &call);
     let mut progress = CallProgress::new(call.route.kind, call.route.attempts);
     let mut attempts = Attempts::default();
     loop {
-        let may_leave = progress.may_go_on_elsewhere();
-        let patience = may_leave.then(|| call.first_patience());
+        let may_fail_over = progress.may_fail_over();
+        let answer_timeout = may_fail_over.then(|| call.first_event_timeout());
         let resume_after = call.head.resume_after;
         let attempted = attempts
-            .attempt(&node, &call, resume_after, patience, &mut record)
+            .attempt(&node, &call, resume_after, answer_timeout, &mut record)
             .await;
         let end = match attempted {
-            Ok(attempted) if streams(&call, &attempted) => {
-                return Ok(stream(node, call, attempted, progress, attempts, record));
+            Ok(attempted) if is_event_stream(&call, &attempted) => {
+                return Ok(stream_answer(
+                    node, call, attempted, progress, attempts, record,
+                ));
             }
-            Ok(attempted) => match whole(&node, &call, attempted, &mut attempts).await {
+            Ok(attempted) => match buffer_answer(&node, &call, attempted, &mut attempts).await {
                 Ok(response) => {
-                    record.end(CallOutcome::Answered);
+                    record.set_outcome(CallOutcome::Answered);
                     return Ok(response);
                 }
                 Err(reason) => {
@@ -48,24 +51,24 @@
             },
             Err(end) => end,
         };
-        if let Next::Refuse(refusal) = progress.after(end, call.has_time()) {
+        if let Next::Refuse(refusal) = progress.next_after(end, call.has_time()) {
             let refusal = match call.has_time() || refusal == Refusal::CrashesWorkers {
                 true => refusal,
-                false => progress.out_of_time(),
+                false => progress.timeout_refusal(),
             };
-            record.end(CallOutcome::Refused(refusal.clone()));
+            record.set_outcome(CallOutcome::Refused(refusal.clone()));
             return Err(refusal);
         }
     }
 }
 
-fn streams(call: &Call, attempted: &Attempted) -> bool {
+fn is_event_stream(call: &Call, attempted: &Attempted) -> bool {
     call.route.kind.is_stream()
         && attempted.sent.answer.verdict == Verdict::Taken
         && attempted.sent.head.status == StatusCode::OK
 }
 
-fn stream(
+fn stream_answer(
     node: Arc<Node>,
     call: Call,
     attempted: Attempted,
@@ -73,12 +76,12 @@
     attempts: Attempts,
     record: CallRecord,
 ) -> Response<AnswerBody> {
-    let Attempted { sent, place, run } = attempted;
+    let Attempted { sent, slot, run } = attempted;
     let headers = node.worker_protocol().answer_headers(&sent.head.headers);
     let status = sent.head.status;
     let running = Running {
         exchange: sent.exchange,
-        place,
+        slot,
         run,
     };
     let relay = Relay::new(node, call, running, progress, attempts, record);
@@ -88,21 +91,21 @@
     response
 }
 
-/// Reads an answer that is no stream to its end, so that one that breaks off
-/// never looks whole.
-async fn whole(
+/// Reads a response that is not an event stream to its end, so that a truncated response is
+/// never passed on as complete.
+async fn buffer_answer(
     node: &Node,
     call: &Call,
     attempted: Attempted,
     attempts: &mut Attempts,
 ) -> Result<Response<AnswerBody>, BreakReason> {
-    let Attempted { sent, place, run } = attempted;
-    // Given up only once the answer is whole.
-    let _place = place;
+    let Attempted { sent, slot, run } = attempted;
+    // The slot is freed only after the body was read.
+    let _slot = slot;
     let headers = node.worker_protocol().answer_headers(&sent.head.headers);
     let reading = sent
         .exchange
-        .read_whole(node.connections(), WHOLE_ANSWER_LIMIT);
+        .read_whole(node.connections(), MAX_BUFFERED_ANSWER_BYTES);
     let read = timeout_at(call.deadline, reading).await;
     let body = match read.unwrap_or(Err(BreakReason::Silent)) {
         Ok(body) => {
@@ -110,7 +113,7 @@
             body
         }
         Err(reason) => {
-            attempts.broke(node, run, call, &reason);
+            attempts.run_failed(node, run, call, &reason);
             return Err(reason);
         }
     };
--- a/crates/pinerill-forward/src/call/record.rs
+++ b/crates/pinerill-forward/src/call/record.rs
@@ -1,4 +1,4 @@
-//! What is told of a call: one log line when it ends, and its metrics.
+//! Log line and metrics of a call, written when the call ends.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -11,52 +11,52 @@
 use crate::fleet::Chosen;
 use crate::node::Node;
 
-/// How a call ended.
+/// How a call ended, for its log line and metrics.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// Its answer was whole.
+    /// The complete response was passed on.
     Answered,
-    /// It was refused.
+    /// The caller got a refusal.
     Refused(Refusal),
-    /// Its answer was cut; why.
+    /// The response was cut off, for the given reason.
     Cut(String),
-    /// Its caller went away.
-    Left,
+    /// The caller closed the connection before the response was complete.
+    CallerGone,
 }
 
 impl CallOutcome {
-    /// The kind of the log line.
+    /// Returns the `event` value of the log line.
     fn event(&self) -> &'static str {
         match self {
             CallOutcome::Answered => "call_answered",
             CallOutcome::Refused(_) => "call_refused",
             CallOutcome::Cut(_) => "call_cut",
-            CallOutcome::Left => "call_left",
+            CallOutcome::CallerGone => "call_left",
         }
     }
 
-    /// The label in metrics.
+    /// Returns the outcome label in metrics.
     pub(crate) fn label(&self) -> &'static str {
         match self {
             CallOutcome::Answered => "answered",
             CallOutcome::Refused(Refusal::NotRun { .. }) => "not_run",
             CallOutcome::Refused(_) => "failed",
             CallOutcome::Cut(_) => "cut",
-            CallOutcome::Left => "left",
+            CallOutcome::CallerGone => "left",
         }
     }
 
     fn reason(&self) -> String {
         match self {
-            CallOutcome::Answered | CallOutcome::Left => String::new(),
+            CallOutcome::Answered | CallOutcome::CallerGone => String::new(),
             CallOutcome::Refused(refusal) => refusal.to_string(),
             CallOutcome::Cut(reason) => reason.clone(),
         }
     }
 }
 
-/// The record of a call while it goes on. A record that is dropped without an
-/// outcome was left by its caller.
+/// Collects what is logged about a call and writes the log line when dropped. A record that is
+/// dropped without an outcome belongs to a call whose caller disconnected.
 pub struct CallRecord {
     node: Arc<Node>,
     id: String,
@@ -64,11 +64,12 @@
     kind: &'static str,
     table_version: u64,
     arrived: BootTime,
-    /// Each attempt with what decided it and what became of it.
+    /// Text that lists each attempt with its start, its worker, the basis of the choice and the
+    /// failure, if any.
     attempts: String,
-    /// Time that it waited here for places at workers.
+    /// Total time that the call waited at this node for slots at workers.
     waited: Duration,
-    /// When it got its first place.
+    /// Time at which the call got its first slot.
     placed: Option<BootTime>,
     first_event: Option<BootTime>,
     last_event: Option<BootTime>,
@@ -77,7 +78,7 @@
 }
 
 impl CallRecord {
-    /// The record of a call that begins.
+    /// Starts the record of a call.
     pub fn begin(node: &Arc<Node>, call: &Call) -> Self {
         CallRecord {
             node: node.clone(),
@@ -92,18 +93,18 @@
             first_event: None,
             last_event: None,
             events: 0,
-            outcome: CallOutcome::Left,
+            outcome: CallOutcome::CallerGone,
         }
     }
 
-    /// An attempt begins.
-    pub fn attempt(&mut self, chosen: &Chosen) {
+    /// Records the start of an attempt at the chosen worker.
+    pub fn begin_attempt(&mut self, chosen: &Chosen) {
         if !self.attempts.is_empty() {
             self.attempts.push_str("; ");
         }
         let at = self.elapsed_ms();
         self.placed.get_or_insert_with(BootTime::now);
-        // Writing to a text can't fail.
+        // Writing to a `String` can't fail.
         let _ = write!(
             self.attempts,
             "{at} ms {} ({})",
@@ -111,19 +112,20 @@
         );
     }
 
-    /// It waited for a place at a worker.
-    pub fn waited(&mut self, time: Duration) {
+    /// Adds time that the call waited for a slot at a worker.
+    pub fn add_wait(&mut self, time: Duration) {
         self.waited += time;
     }
 
-    /// The last attempt gave no answer.
+    /// Records why the current attempt failed.
     pub fn attempt_failed(&mut self, reason: &dyn std::fmt::Display) {
         let at = self.elapsed_ms();
         let _ = write!(self.attempts, " > {reason} at {at} ms");
     }
 
-    /// Events are passed on.
-    pub fn events(&mut self, count: usize) {
+    /// Records that `count` events are passed on to the caller now. The metrics get the time to the
+    /// first event, or else the gap since the previous events.
+    pub fn add_events(&mut self, count: usize) {
         let now = BootTime::now();
         let metrics = &self.node.metrics;
         match self.last_event {
@@ -135,13 +137,14 @@
         self.events += count;
     }
 
-    /// It ended.
-    pub fn end(&mut self, outcome: CallOutcome) {
+    /// Sets the outcome that is logged when the record is dropped.
+    pub fn set_outcome(&mut self, outcome: CallOutcome) {
         self.outcome = outcome;
     }
 
-    /// Tells the dispatcher how long it took from its place on.
-    fn tell_times(&self) {
+    /// Records for the dispatcher how long a completed stream took from its first slot to the first
+    /// event and to the end.
+    fn record_service_times(&self) {
         let (Some(placed), Some(first)) = (self.placed, self.first_event) else {
             return;
         };
@@ -159,7 +162,7 @@
 impl Drop for CallRecord {
     fn drop(&mut self) {
         let taken = self.arrived.elapsed();
-        self.tell_times();
+        self.record_service_times();
         self.node
             .metrics
             .call_ended(self.kind, self.outcome.label(), taken);
--- a/crates/pinerill-forward/src/call/relay.rs
+++ b/crates/pinerill-forward/src/call/relay.rs
@@ -1,8 +1,8 @@
-//! Events from workers to a caller.
+//! Relays an event stream from workers to a caller.
 //!
-//! The answer keeps the head of its first worker. If that one breaks off and
-//! the route allows it, the events go on from another worker behind the last
-//! one that was wholly passed on; the connection to the first is closed before.
+//! The response keeps the head that the first worker sent. If that worker breaks off and the
+//! route allows it, another worker continues the stream after the last event that was passed on
+//! completely; the connection to the first worker is closed before that.
 
 use pinerill_process::clock::{timeout_at, BootTime};
 use std::sync::Arc;
@@ -24,16 +24,16 @@
 use crate::exchange::{BreakReason, EventScanner, Exchange};
 use crate::node::{Node, Occupied};
 
-/// Body of an answer to a caller.
+/// Body of a response to a caller, either complete or streamed.
 pub type AnswerBody = UnsyncBoxBody<Bytes, RelayError>;
 
-/// An answer that can't be finished: its connection is cut, so that it does
-/// not look whole.
+/// Error of a response that can't be completed. The caller's connection is closed within the
+/// body, so that the truncated response is not mistaken for a complete one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("the answer can't be finished")]
+#[error("the response can't be completed")]
 pub struct RelayError;
 
-/// What goes on between a worker and the caller.
+/// State of one event stream between workers and the caller.
 pub(super) struct Relay {
     node: Arc<Node>,
     call: Call,
@@ -45,10 +45,11 @@
     ended: bool,
 }
 
-/// The run that brings events now.
+/// The current attempt, which delivers the events. Dropping it closes the connection to the
+/// worker and frees the slot.
 pub(super) struct Running {
     pub(super) exchange: Exchange,
-    pub(super) place: Occupied,
+    pub(super) slot: Occupied,
     pub(super) run: Run,
 }
 
@@ -81,7 +82,7 @@
         BodyExt::boxed_unsync(StreamBody::new(events))
     }
 
-    /// The next events; none after the last.
+    /// Returns the next complete events; `None` after the last ones and after an error.
     async fn next(&mut self) -> Option<Result<Bytes, RelayError>> {
         if self.ended {
             return None;
@@ -95,11 +96,11 @@
                 }
                 Err(reason) => reason,
             };
-            if let Err(outcome) = self.continue_elsewhere(&broken).await {
+            if let Err(outcome) = self.fail_over(&broken).await {
                 self.ended = true;
-                self.record.end(CallOutcome::Cut(outcome));
-                // The server writes out what it has been handed when it has
-                // to wait; an error that comes at once would discard it.
+                self.record.set_outcome(CallOutcome::Cut(outcome));
+                // hyper flushes the events passed on so far only when the body is pending; an
+                // immediate error would discard them.
                 yield_now().await;
                 return Some(Err(RelayError));
             }
@@ -107,7 +108,7 @@
     }
 
     async fn next_events(&mut self) -> Result<Option<Bytes>, BreakReason> {
-        let limit = self.patience_until();
+        let limit = self.silence_deadline();
         let Some(running) = &mut self.running else {
             return Err(BreakReason::Silent);
         };
@@ -123,54 +124,56 @@
             let batch = batch.map_err(|_| BreakReason::EventOrder)?;
             if batch.count > 0 {
                 running.run.reached(self.scanner.last());
-                self.record.events(batch.count);
+                self.record.add_events(batch.count);
                 return Ok(Some(batch.bytes));
             }
         }
     }
 
-    /// How long to wait for a worker that is silent. Silence alone never ends
-    /// an answer that can't go on elsewhere.
-    fn patience_until(&self) -> BootTime {
+    /// Returns the time until which to wait for the next event: the call's deadline if no other
+    /// worker may continue the stream, or else the end of the silence timeout.
+    fn silence_deadline(&self) -> BootTime {
         let deadline = self.call.deadline;
-        if !self.progress.may_go_on_elsewhere() {
+        if !self.progress.may_fail_over() {
             return deadline;
         }
-        let patience = match self.scanner.last() == self.call.head.resume_after {
-            true => self.call.first_patience(),
-            false => self.call.gap_patience(),
+        let timeout = match self.scanner.last() == self.call.head.resume_after {
+            true => self.call.first_event_timeout(),
+            false => self.call.event_gap_timeout(),
         };
-        deadline.min(BootTime::now() + patience)
+        deadline.min(BootTime::now() + timeout)
     }
 
     fn finish(&mut self) {
         self.ended = true;
-        self.record.end(CallOutcome::Answered);
+        self.record.set_outcome(CallOutcome::Answered);
         if let Some(Running {
             exchange,
-            place,
+            slot,
             run,
         }) = self.running.take()
         {
-            place.succeeded();
+            slot.succeeded();
             run.answered();
             exchange.finish(self.node.connections());
         }
     }
 
-    /// Finds another worker that goes on behind the last whole event.
+    /// Continues the stream at another worker, after the last complete event.
     ///
     /// # Errors
-    /// The outcome when there is none.
-    async fn continue_elsewhere(&mut self, broken: &BreakReason) -> Result<(), String> {
+    /// Returns the text of `broken`, the failure of the first worker, if the call may not be sent
+    /// again.
+    async fn fail_over(&mut self, broken: &BreakReason) -> Result<(), String> {
         if let Some(Running { run, .. }) = self.running.take() {
             self.record.attempt_failed(broken);
-            self.attempts.broke(&self.node, run, &self.call, broken);
+            self.attempts
+                .run_failed(&self.node, run, &self.call, broken);
         }
         self.scanner = EventScanner::after(self.scanner.last());
         let mut end = AttemptEnd::MayHaveRun;
         loop {
-            let next = self.progress.after(end, self.call.has_time());
+            let next = self.progress.next_after(end, self.call.has_time());
             if let Next::Refuse(_) = next {
                 return Err(broken.to_string());
             }
@@ -182,8 +185,8 @@
     }
 
     async fn attempt(&mut self) -> Result<(), AttemptEnd> {
-        let may_leave = self.progress.may_go_on_elsewhere();
-        let patience = may_leave.then(|| self.call.first_patience());
+        let may_fail_over = self.progress.may_fail_over();
+        let answer_timeout = may_fail_over.then(|| self.call.first_event_timeout());
         let resume_after = self.scanner.last();
         let attempted = self
             .attempts
@@ -191,19 +194,19 @@
                 &self.node,
                 &self.call,
                 resume_after,
-                patience,
+                answer_timeout,
                 &mut self.record,
             )
             .await;
-        let Attempted { sent, place, run } = attempted?;
-        let goes_on = sent.answer.verdict == Verdict::Taken && sent.head.status == StatusCode::OK;
-        if !goes_on {
+        let Attempted { sent, slot, run } = attempted?;
+        let continues = sent.answer.verdict == Verdict::Taken && sent.head.status == StatusCode::OK;
+        if !continues {
             run.answered();
             return Err(AttemptEnd::MayHaveRun);
         }
         self.running = Some(Running {
             exchange: sent.exchange,
-            place,
+            slot,
             run,
         });
         Ok(())
--- a/crates/pinerill-forward/src/call/request.rs
+++ b/crates/pinerill-forward/src/call/request.rs
@@ -1,4 +1,5 @@
-//! What a call is, for all its attempts.
+//! The parts of a call that are the same for every attempt, and the timeouts derived from its
+//! route.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,93 +14,102 @@
 use crate::fleet::Prompt;
 use crate::quota::Permit;
 
-/// Shortest time in which an attempt can be expected to end.
-const SHORTEST_ATTEMPT: Duration = Duration::from_millis(20);
-/// Shortest silence after which a worker is given up.
-const SHORTEST_PATIENCE: Duration = Duration::from_millis(1_000);
-/// Objectives that may pass without an event before a worker is given up: by
-/// then the answer is late, and a worker that is merely busy should have begun.
-const OBJECTIVES_OF_PATIENCE: f64 = 4.0;
+/// Shortest time in which an attempt can be expected to end. With less time left, no attempt is
+/// begun.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(20);
+/// Lower bound of the silence after which a call is moved to another worker.
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Silence after which a call is moved to another worker, as a multiple of the route's latency
+/// objective. By then the response is late, and a worker that is only busy should have begun.
+const SILENCE_TIMEOUT_OBJECTIVES: f64 = 4.0;
 
-/// A call that was admitted.
+/// A call that was admitted by the gateway.
 #[derive(Debug)]
 pub struct Call {
-    /// What the head says.
+    /// Information that the caller protocol reads from the request head.
     pub head: CallHead,
-    /// The caller's headers.
+    /// Headers of the caller's request, without its key.
     pub headers: HeaderMap,
-    /// What is sent to workers.
+    /// The request that is sent to workers.
     pub request: WorkerRequest,
-    /// What it is, whichever try brings it.
+    /// Identity of the request, by which retries of the same request are recognized when it
+    /// crashes workers.
     pub identity: Arc<RequestIdentity>,
-    /// On whose behalf it is served.
+    /// The tenant, if any, on whose behalf the call is served.
     pub access: Access,
-    /// What lets it pass within its tenant's limit, if there is one.
+    /// Quota permit of the call; `None` if its tenant has no limit on requests.
     pub(crate) permit: Option<Permit>,
-    /// Its rank: its tenant's, or that of its route.
+    /// Priority, from the tenant or else from the route; 0 is the most urgent.
     pub rank: u32,
-    /// Its route.
+    /// Route that matched the call's host and path.
     pub route: Arc<Route>,
-    /// Regions in which it may be served.
+    /// Regions in which the call may be served: those that both the route and the tenant allow.
     pub homes: Homes,
-    /// Service of the route that was drawn for it.
+    /// Service that was drawn by weight from the route's targets.
     pub service: String,
-    /// Version of the route table that was in force.
+    /// Version of the route table by which the call was routed.
     pub table_version: u64,
-    /// Its prompt.
+    /// The prompt as a chain of prefixes, used to choose a worker that has cached them.
     pub prompt: Prompt,
-    /// When it arrived.
+    /// Time at which the request head arrived.
     pub arrived: BootTime,
-    /// When it must have its final answer.
+    /// Time by which the response must be complete.
     pub deadline: BootTime,
 }
 
 impl Call {
-    /// The time until which it may be held: the caller's and the route's.
+    /// Returns the deadline of a call: the earlier of the caller's deadline and the route's
+    /// timeout.
     pub fn deadline_of(head: &CallHead, route: &Route, arrived: BootTime) -> BootTime {
         let allowed = Duration::from_millis(route.timeout_ms);
-        arrived + head.deadline.map_or(allowed, |told| told.min(allowed))
+        arrived
+            + head
+                .deadline
+                .map_or(allowed, |requested| requested.min(allowed))
     }
 
-    /// A worker may have run it.
-    pub(crate) fn ran(&self) {
+    /// Records on the quota permit, if any, that a worker may have run the call.
+    pub(crate) fn mark_run(&self) {
         if let Some(permit) = &self.permit {
             permit.ran();
         }
     }
 
-    /// Time that is left.
+    /// Returns the time left until the deadline.
     pub fn remaining(&self) -> Duration {
         self.deadline.remaining()
     }
 
-    /// When its first event must have reached the caller, who gives it up then.
+    /// Returns the time by which the first event must reach the caller: the moment at which the
+    /// caller gives up, or the deadline if that is earlier or the caller does not give up.
     pub fn first_event_deadline(&self) -> BootTime {
-        let patience = self.route.caller_patience_ms.map(Duration::from_millis);
-        let given_up = patience.map(|patience| self.arrived + patience);
+        let timeout = self.route.caller_patience_ms.map(Duration::from_millis);
+        let given_up = timeout.map(|timeout| self.arrived + timeout);
         given_up.map_or(self.deadline, |at| at.min(self.deadline))
     }
 
-    /// Whether another attempt could still end in time.
+    /// Returns whether another attempt could still end before the deadline.
     pub fn has_time(&self) -> bool {
-        self.remaining() > SHORTEST_ATTEMPT
+        self.remaining() > MIN_ATTEMPT_TIME
     }
 
-    /// Silence before the first event after which a call that may run again is
-    /// tried elsewhere.
-    pub fn first_patience(&self) -> Duration {
+    /// Returns the silence before the first event after which a call that may run again is sent to
+    /// another worker.
+    pub fn first_event_timeout(&self) -> Duration {
         let objective = Duration::from_millis(self.route.objective_ms);
         objective
-            .mul_f64(OBJECTIVES_OF_PATIENCE)
-            .max(SHORTEST_PATIENCE)
+            .mul_f64(SILENCE_TIMEOUT_OBJECTIVES)
+            .max(MIN_SILENCE_TIMEOUT)
     }
 
-    /// Silence between two events after which it is continued elsewhere.
-    pub fn gap_patience(&self) -> Duration {
+    /// Returns the silence between two events after which a stream is continued at another
+    /// worker.
+    pub fn event_gap_timeout(&self) -> Duration {
         let gap = self
             .route
             .gap_ms
             .map_or(Duration::ZERO, Duration::from_millis);
-        gap.mul_f64(OBJECTIVES_OF_PATIENCE).max(SHORTEST_PATIENCE)
+        gap.mul_f64(SILENCE_TIMEOUT_OBJECTIVES)
+            .max(MIN_SILENCE_TIMEOUT)
     }
 }
--- a/crates/pinerill-forward/src/exchange/connect_times.rs
+++ b/crates/pinerill-forward/src/exchange/connect_times.rs
@@ -1,55 +1,63 @@
-//! How long connecting to workers usually takes, and so when it is not waited for any
-//! more. Pure.
+//! Adaptive connect timeout, derived per zone from recent connect times. Pure.
 //!
-//! A worker that is gone without a word answers nothing, and each node finds that out by
-//! itself. A call that waited half a second for it is late by that alone; one that goes
-//! elsewhere after a small multiple of the usual time is not, and has run nowhere. On a
-//! fleet of 78 nodes the worth of a day with silent workers rose from 0.779 to 0.814 with it
-//! and with early elections (one run each).
+//! A worker whose machine has disappeared does not respond at all, and each node has to find
+//! that out by itself. Half a second of waiting for such a worker makes a call late; a small
+//! multiple of the usual connect time does not, and the call can safely go to another worker
+//! because nothing was sent. On a fleet of 78 nodes with workers that stop responding, this
+//! timeout together with early elections raises the score of a day from 0.779 to 0.814 (one
+//! run each).
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Connections by zone from which the usual time is read.
-const REMEMBERED: usize = 32;
-/// With fewer the usual time is not known: a node of a large fleet seldom connects.
-const LEAST: usize = 2;
-/// Part of the connections that take no longer than the usual time: lost packets, which
-/// take a second to be sent again, don't move it below a quarter of losses.
-const USUAL_PART: f64 = 0.75;
-/// Times the usual time that is waited.
-const MULTIPLE: u32 = 6;
-/// Shortest wait: a worker that is slow to accept is not taken for one that is gone.
-const SHORTEST: Duration = Duration::from_millis(40);
-/// Wait while the usual time is not known: two round trips within a region with room.
-pub const UNKNOWN: Duration = Duration::from_millis(200);
-/// Longest wait: workers are in the same region.
-pub const LONGEST: Duration = Duration::from_millis(500);
+/// Number of recent connect times that are kept per zone.
+const SAMPLES_PER_ZONE: usize = 32;
+/// Fewest samples from which a timeout is derived. The number is low because a node of a large
+/// fleet opens connections rarely.
+const MIN_SAMPLES: usize = 2;
+/// Quantile of the connect times that counts as the usual time. A lost packet is retransmitted
+/// only after a second; at this quantile such losses don't change the usual time as long as they
+/// affect less than a quarter of the connections.
+const USUAL_TIME_QUANTILE: f64 = 0.75;
+/// Factor between the usual connect time and the timeout.
+const TIMEOUT_MULTIPLE: u32 = 6;
+/// Shortest timeout. It keeps a worker that is slow to accept connections from being treated as
+/// unreachable.
+const MIN_TIMEOUT: Duration = Duration::from_millis(40);
+/// Timeout while a zone has too few samples: two round trips within a region, with a margin.
+pub const DEFAULT_TIMEOUT: Duration = Duration::from_millis(200);
+/// Longest timeout. It suffices because all workers are in the node's region.
+pub const MAX_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Times of connections that came about, by the workers' zone.
+/// Recent times of successful connects, by the zone of the worker.
 #[derive(Debug, Default)]
 pub struct ConnectTimes {
     by_zone: HashMap<String, VecDeque<Duration>>,
 }
 
 impl ConnectTimes {
-    /// A connection to a worker of this zone took so long.
-    pub fn took(&mut self, zone: &str, time: Duration) {
+    /// Records how long a successful connect to a worker of this zone took.
+    pub fn record(&mut self, zone: &str, time: Duration) {
         let times = self.by_zone.entry(zone.to_owned()).or_default();
         times.push_back(time);
-        if times.len() > REMEMBERED {
+        if times.len() > SAMPLES_PER_ZONE {
             times.pop_front();
         }
     }
 
-    /// How long a connection to a worker of this zone is waited for.
-    pub fn patience(&self, zone: &str) -> Duration {
-        let Some(times) = self.by_zone.get(zone).filter(|times| times.len() >= LEAST) else {
-            return UNKNOWN;
+    /// Returns the connect timeout for workers of this zone; [`DEFAULT_TIMEOUT`] while there are
+    /// too few samples.
+    pub fn connect_timeout(&self, zone: &str) -> Duration {
+        let Some(times) = self
+            .by_zone
+            .get(zone)
+            .filter(|times| times.len() >= MIN_SAMPLES)
+        else {
+            return DEFAULT_TIMEOUT;
         };
         let mut sorted: Vec<Duration> = times.iter().copied().collect();
         sorted.sort_unstable();
-        let usual = sorted[((sorted.len() - 1) as f64 * USUAL_PART) as usize];
-        (usual * MULTIPLE).clamp(SHORTEST, LONGEST)
+        let usual = sorted[((sorted.len() - 1) as f64 * USUAL_TIME_QUANTILE) as usize];
+        (usual * TIMEOUT_MULTIPLE).clamp(MIN_TIMEOUT, MAX_TIMEOUT)
     }
 }
--- a/crates/pinerill-forward/src/exchange/connection.rs
+++ b/crates/pinerill-forward/src/exchange/connection.rs
@@ -1,4 +1,7 @@
-//! One connection to a worker.
+//! One HTTP/1 connection to a worker.
+//!
+//! The connection has no task of its own: it makes progress only while its owner awaits one of
+//! its methods, and dropping it closes the socket.
 
 use std::future::Future;
 use std::io;
@@ -21,57 +24,58 @@
 
 use super::connect_times;
 
-/// Unacknowledged bytes end a connection after this time.
-const SILENCE_LIMIT: Duration = Duration::from_millis(2_000);
-/// Bytes of a worker's answer that are buffered.
+/// TCP user timeout: a connection ends if sent bytes stay unacknowledged for this time.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Maximum size of the buffer for a worker's response.
 const BUFFER_BYTES: usize = 32 << 10;
 
-/// Why an exchange broke.
+/// Why an exchange with a worker failed or was not begun.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum BreakReason {
-    /// The worker could not be connected to.
+    /// No connection to the worker could be established.
     #[error("connect: {0}")]
     Connect(String),
-    /// The worker's machine refuses connections: no process listens there.
-    #[error("connect: refused")]
+    /// The worker's machine refused the connection, so no process listens there.
+    #[error("connect: connection refused")]
     Refused,
-    /// The connection ended or what came was no answer.
+    /// The connection ended early, or the bytes received were not a valid response.
     #[error("connection: {0}")]
     Connection(String),
-    /// The answer names another request.
-    #[error("the answer names another request")]
+    /// The request id in the response is not the one that was sent.
+    #[error("the response carries the id of another request")]
     OtherRequest,
-    /// The body is encoded, which no caller asked for.
-    #[error("the answer's body is encoded")]
+    /// The response body has a content encoding, which no caller requested.
+    #[error("the response body has a content encoding")]
     Encoded,
-    /// Events are missing, doubled or out of order.
+    /// Events of the response are missing, duplicate, out of order or too long.
     #[error("events out of order")]
     EventOrder,
-    /// The worker has started again; what it ran before is gone.
-    #[error("the worker has started again")]
+    /// The worker has restarted; requests sent to its earlier incarnation are lost.
+    #[error("the worker has restarted")]
     Restarted,
-    /// The worker is leaving, or gone, so that nothing was sent.
-    #[error("the worker is leaving")]
+    /// The worker is leaving the fleet or has left it; nothing was sent.
+    #[error("the worker is leaving or gone")]
     Leaving,
-    /// The worker is not known to stay, so that nothing was sent.
-    #[error("the worker is not known to stay: {0}")]
+    /// It could not be confirmed that the worker is healthy and not leaving; nothing was sent.
+    #[error("the worker could not be confirmed: {0}")]
     Unconfirmed(&'static str),
-    /// The worker's zone is evacuated, so that nothing was sent.
+    /// The worker's zone is being evacuated; nothing was sent.
     #[error("the worker's zone is evacuated")]
     Evacuated,
-    /// The worker is still cold, and no permit lets the request go there; nothing was sent.
-    #[error("the worker is cold, and there is no permit")]
+    /// The worker is in slow start and there is no permit for the request; nothing was sent.
+    #[error("no slow-start permit for a cold worker")]
     Cold,
-    /// Nothing came for too long.
+    /// The worker sent nothing within the timeout that applied.
     #[error("silent for too long")]
     Silent,
-    /// The answer ended before its last event was whole.
-    #[error("the answer ended within an event")]
+    /// The response ended in the middle of an event.
+    #[error("the response ended within an event")]
     Truncated,
 }
 
 impl BreakReason {
-    /// Whether the worker said nothing at all, so that others will hear nothing either.
+    /// Returns whether the worker could not be reached or did not respond, in which case other
+    /// nodes can expect no response either.
     pub fn is_unresponsive(&self) -> bool {
         matches!(
             self,
@@ -79,18 +83,19 @@
         )
     }
 
-    /// Whether the worker ended the connection, so that it may do so to others.
+    /// Returns whether the connection or the response broke off, which other nodes may see too.
     pub fn is_disconnect(&self) -> bool {
         matches!(self, BreakReason::Connection(_) | BreakReason::Truncated)
     }
 
-    /// Whether the worker failed. One that is merely spared did not.
+    /// Returns whether the reason counts as a failure of the worker. It does not if the request
+    /// was held back because of an evacuation or slow start.
     pub fn is_failure(&self) -> bool {
         !matches!(self, BreakReason::Evacuated | BreakReason::Cold)
     }
 
-    /// Whether a crash of the worker may be behind it: a worker whose answer was merely
-    /// wrong lives.
+    /// Returns whether a crash of the worker may be the cause. A worker that sent an invalid
+    /// response is still running.
     pub fn may_be_crash(&self) -> bool {
         matches!(
             self,
@@ -104,31 +109,32 @@
 
 type Driver = http1::Connection<TokioIo<TcpStream>, Full<Bytes>>;
 
-/// A connection that carries one request at a time.
+/// A connection to a worker that carries one request at a time.
 pub struct WorkerConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: Pin<Box<Driver>>,
-    /// Why the connection ended, once it has.
+    /// Why the connection ended; `None` while it is open.
     ended: Option<String>,
 }
 
-/// A request that could not be sent, or whose answer did not come.
+/// A request that could not be sent or whose response head did not arrive.
 pub(super) struct Unanswered {
-    /// Whether any byte may have reached the worker.
+    /// Whether any byte of the request may have reached the worker.
     pub(super) sent: bool,
     pub(super) reason: BreakReason,
 }
 
 impl WorkerConnection {
-    /// Connects to a worker.
+    /// Connects to a worker, waiting at most [`connect_times::MAX_TIMEOUT`].
     ///
     /// # Errors
-    /// [`BreakReason::Connect`] or [`BreakReason::Refused`].
+    /// Returns [`BreakReason::Refused`] if the worker's machine refuses the connection, and
+    /// [`BreakReason::Connect`] on any other failure.
     pub async fn open(address: SocketAddr) -> Result<Self, BreakReason> {
         let failed = |error: String| BreakReason::Connect(error);
-        let connected = timeout(connect_times::LONGEST, TcpStream::connect(address)).await;
+        let connected = timeout(connect_times::MAX_TIMEOUT, TcpStream::connect(address)).await;
         let stream = connected
-            .map_err(|_| failed("no answer in time".to_owned()))?
+            .map_err(|_| failed("connection timed out".to_owned()))?
             .map_err(|error| match error.kind() {
                 io::ErrorKind::ConnectionRefused => BreakReason::Refused,
                 _ => failed(error.to_string()),
@@ -146,7 +152,7 @@
         })
     }
 
-    /// Sends a request and awaits the head of its answer.
+    /// Sends a request and awaits the head of its response.
     pub(super) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -160,7 +166,8 @@
         })
     }
 
-    /// The next piece of an answer's body; none at its clean end.
+    /// Returns the next chunk of a response body; `None` at its regular end. Trailers are
+    /// skipped.
     pub(super) async fn next_piece(
         &mut self,
         body: &mut Incoming,
@@ -179,8 +186,8 @@
         }
     }
 
-    /// Whether it may carry another request: it is open, its last answer was
-    /// read to the end, and the worker has sent nothing since.
+    /// Returns whether the connection can carry another request: it is open, its last response
+    /// was read to the end, and the worker has sent nothing since.
     pub fn is_reusable(&mut self) -> bool {
         let waker = futures_util::task::noop_waker();
         let mut context = Context::from_waker(&waker);
@@ -209,8 +216,9 @@
     }
 }
 
-/// Awaits a future of the connection while the connection itself is driven.
-/// Both are woken by the same task. The connection's end wakes the future.
+/// Awaits a future that depends on the connection while also polling the connection itself.
+/// Both are polled by the same task. The future is polled again after the connection, because
+/// progress or the end of the connection may have made it ready.
 async fn drive<F: Future>(
     driver: &mut Pin<Box<Driver>>,
     ended: &mut Option<String>,
@@ -231,5 +239,5 @@
 
 fn set_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    SockRef::from(stream).set_tcp_user_timeout(Some(SILENCE_LIMIT))
+    SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
--- a/crates/pinerill-forward/src/exchange/events.rs
+++ b/crates/pinerill-forward/src/exchange/events.rs
@@ -1,50 +1,51 @@
-//! Events of a `text/event-stream`, scanned as they arrive.
+//! Incremental scanner for `text/event-stream` bodies.
 //!
-//! Only whole events are handed on. Those with a number must rise by one: a
-//! missing, doubled or foreign event ends the exchange.
+//! Only complete events are passed on. Numeric event ids must increase by one: a missing,
+//! duplicate or unrelated event is an error that ends the exchange.
 
 use bytes::{Bytes, BytesMut};
 use thiserror::Error;
 
-/// Longest event; a longer one can't be right.
-const EVENT_LIMIT: usize = 1 << 20;
+/// Largest accepted event, in bytes. A longer one is treated as malformed.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Whole events in the order of arrival.
+/// Complete events in order of arrival.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct EventBatch {
-    /// Their bytes, unchanged.
+    /// Bytes of the events, unchanged.
     pub bytes: Bytes,
-    /// How many they are.
+    /// Number of events in `bytes`.
     pub count: usize,
 }
 
-/// What is wrong with a series of events.
+/// Violation of the event order or of the size limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum EventOrderError {
-    /// An event does not follow the last one.
+    /// The id of an event is not one above the id of the event before it.
     #[error("event {found} after event {last}")]
     OutOfOrder {
-        /// The last event that was whole and in order.
+        /// Id of the last complete event that was in order.
         last: u64,
-        /// The one that came.
+        /// Id of the event that arrived instead of the next one.
         found: u64,
     },
-    /// An event is too long.
-    #[error("an event is too long")]
+    /// An event is longer than the limit of 1 MiB.
+    #[error("event exceeds the size limit")]
     TooLong,
 }
 
-/// Splits a body into whole events.
+/// Splits a body, received in arbitrary chunks, into complete events.
 #[derive(Debug, Default)]
 pub struct EventScanner {
     pending: BytesMut,
-    /// Where to look on for the end of the pending event.
-    searched: usize,
+    /// Offset in `pending` from which the search for the end of an event continues.
+    search_from: usize,
     last: Option<u64>,
 }
 
 impl EventScanner {
-    /// A scanner of a series that continues after an event, or begins.
+    /// Returns a scanner for a stream that resumes after the event with id `last`, or that begins
+    /// with any id if `last` is `None`.
     pub fn after(last: Option<u64>) -> Self {
         EventScanner {
             last,
@@ -52,55 +53,59 @@
         }
     }
 
-    /// Number of the last whole event.
+    /// Returns the id of the last complete event; `None` before the first event with an id.
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Whether a part of an event has arrived.
+    /// Returns whether the buffer ends with an incomplete event.
     pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Takes in a piece of the body and hands out the events that are whole
-    /// by now.
+    /// Appends a chunk of the body and returns the events that it completes; the batch may be
+    /// empty.
     ///
     /// # Errors
-    /// When an event is out of order or too long. Events before it were
-    /// handed out, or are lost with this batch: [`EventScanner::last`] is the
-    /// last one of the batches that were handed out.
+    /// Returns an error if an event is out of order or too long. The complete events of this
+    /// chunk are then discarded, and [`EventScanner::last`] still names the last event of the
+    /// batches returned before.
     pub fn push(&mut self, piece: &[u8]) -> Result<EventBatch, EventOrderError> {
         self.pending.extend_from_slice(piece);
         let mut last = self.last;
         let mut count = 0;
         let mut whole = 0;
         while let Some(end) = self.next_end(whole) {
-            last = follow(last, event_number(&self.pending[whole..end]))?;
+            last = next_event_number(last, event_number(&self.pending[whole..end]))?;
             whole = end;
             count += 1;
         }
-        if self.pending.len() - whole > EVENT_LIMIT {
+        if self.pending.len() - whole > MAX_EVENT_BYTES {
             return Err(EventOrderError::TooLong);
         }
         self.last = last;
         let bytes = self.pending.split_to(whole).freeze();
-        self.searched = self.pending.len().saturating_sub(1);
+        self.search_from = self.pending.len().saturating_sub(1);
         Ok(EventBatch { bytes, count })
     }
 
-    /// End of the event that begins at `start`: behind its empty line.
+    /// Returns the end offset, after the terminating empty line, of the event that begins at
+    /// `start`; `None` if the event is incomplete.
     fn next_end(&mut self, start: usize) -> Option<usize> {
-        let from = self.searched.max(start);
+        let from = self.search_from.max(start);
         let found = self.pending[from..]
             .windows(2)
             .position(|pair| pair == b"\n\n")?;
         let end = from + found + 2;
-        self.searched = end;
+        self.search_from = end;
         Some(end)
     }
 }
 
-fn follow(last: Option<u64>, number: Option<u64>) -> Result<Option<u64>, EventOrderError> {
+fn next_event_number(
+    last: Option<u64>,
+    number: Option<u64>,
+) -> Result<Option<u64>, EventOrderError> {
     match (last, number) {
         (last, None) => Ok(last),
         (None, first) => Ok(first),
@@ -115,15 +120,15 @@
     std::str::from_utf8(value).ok()?.trim().parse().ok()
 }
 
-/// The data of a series of events, joined by line feeds.
+/// The `data` lines of an event stream, joined by line feeds.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct EventText {
     bytes: Vec<u8>,
-    begun: bool,
+    has_data: bool,
 }
 
 impl EventText {
-    /// Appends the data of whole events.
+    /// Appends the data of complete events. Other fields, such as the id, are skipped.
     pub fn append(&mut self, events: &[u8]) {
         for line in events.split(|byte| *byte == b'\n') {
             if let Some(data) = line.strip_prefix(b"data:") {
@@ -132,16 +137,16 @@
         }
     }
 
-    /// The whole text.
+    /// Returns the joined data of all events appended so far.
     pub fn into_bytes(self) -> Vec<u8> {
         self.bytes
     }
 
     fn append_line(&mut self, data: &[u8]) {
-        if self.begun {
+        if self.has_data {
             self.bytes.push(b'\n');
         }
-        self.begun = true;
+        self.has_data = true;
         self.bytes.extend_from_slice(data);
     }
 }
--- a/crates/pinerill-forward/src/exchange/health.rs
+++ b/crates/pinerill-forward/src/exchange/health.rs
@@ -1,4 +1,7 @@
-//! Health checks: whether a worker is sound and not leaving.
+//! Health checks of workers.
+//!
+//! [`check_health`] requests a worker's health path and reports whether the worker is healthy
+//! and not leaving.
 
 use std::sync::Arc;
 
@@ -12,13 +15,16 @@
 use super::connection::{BreakReason, WorkerConnection};
 use super::pool::ConnectionPool;
 
-/// Longest answer that is read, so that its connection may carry the request that follows.
-const ANSWER_LIMIT: usize = 64 << 10;
+/// Longest health response that is read to its end, in bytes. Only a connection whose response
+/// was read completely can carry the next request.
+const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// Checks the health of a worker. The answer is of the worker that is there now.
+/// Checks the health of a worker, on idle connections first and then on a new one. The result
+/// describes the process that listens at the worker's address now, which may be a later
+/// incarnation than `worker`.
 ///
 /// # Errors
-/// Why there is no answer.
+/// Returns why no response was received.
 pub async fn check_health(
     pool: &Arc<ConnectionPool>,
     protocol: &dyn WorkerProtocol,
@@ -26,7 +32,8 @@
     path: &Uri,
 ) -> Result<HealthAnswer, BreakReason> {
     while let Some(connection) = pool.take(&worker.id) {
-        // A connection that rested may have ended meanwhile; checking twice does no harm.
+        // The worker may have closed an idle connection. A health check has no side effects, so it
+        // can be repeated.
         if let Ok(answer) = check_on(connection, pool, protocol, worker, path).await {
             return Ok(answer);
         }
@@ -48,7 +55,7 @@
     let mut length = 0;
     while let Some(piece) = connection.next_piece(&mut body).await? {
         length += piece.len();
-        if length > ANSWER_LIMIT {
+        if length > MAX_ANSWER_BYTES {
             return Ok(protocol.read_health(&head));
         }
     }
--- a/crates/pinerill-forward/src/exchange/mod.rs
+++ b/crates/pinerill-forward/src/exchange/mod.rs
@@ -1,15 +1,15 @@
-//! Requests to workers: connections, one exchange, the events of its answer.
+//! HTTP requests to workers: connections, single exchanges and the events of a response.
 //!
-//! An exchange owns its connection and drives it itself, without a task of its
-//! own: dropping it closes the connection at once, which is how a worker learns
-//! that nobody waits any more. A connection is used again only after an answer
-//! that was read to its end, named the right request and left nothing behind.
+//! An exchange owns its connection and polls it without a task of its own. Dropping the
+//! exchange closes the connection at once, which tells the worker that the response is no
+//! longer wanted. A connection is reused only after a response that was read to its end,
+//! carried the right request id and left no unread bytes.
 
 pub mod connect_times;
 mod connection;
 mod events;
 mod health;
-mod lives;
+mod incarnations;
 mod pool;
 mod send;
 
--- a/crates/pinerill-forward/src/exchange/pool.rs
+++ b/crates/pinerill-forward/src/exchange/pool.rs
@@ -1,4 +1,7 @@
-//! Connections to workers: opening them, and those that are idle.
+//! Pool of connections to workers.
+//!
+//! Opens connections with a timeout that follows recent connect times in the worker's zone, and
+//! keeps idle ones for later requests.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,54 +15,55 @@
 
 use super::connect_times::ConnectTimes;
 use super::connection::{BreakReason, WorkerConnection};
-use super::lives::Lives;
+use super::incarnations::IncarnationTokens;
 
-/// Idle connections kept to one worker.
-const KEPT_PER_WORKER: usize = 64;
-/// How long one is kept if the worker doesn't say.
-const IDLE_TIME: Duration = Duration::from_secs(4);
-/// How long before the worker closes it a connection is given up.
+/// Maximum number of idle connections kept per worker.
+const MAX_IDLE_PER_WORKER: usize = 64;
+/// Longest time that an idle connection is kept, even if the worker advertises more.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(4);
+/// Subtracted from the keep-alive time that a worker advertises, so that this side closes an
+/// idle connection before the worker does.
 const IDLE_MARGIN: Duration = Duration::from_millis(1_000);
 
-struct Idle {
+struct IdleConnection {
     connection: WorkerConnection,
-    until: BootTime,
+    expires_at: BootTime,
 }
 
-/// Connections that may carry another request, by worker; the one used last
-/// is used first.
+/// Idle connections by worker, reused in last-in, first-out order.
 #[derive(Default)]
 pub struct ConnectionPool {
-    idle: Mutex<HashMap<WorkerId, Vec<Idle>>>,
+    idle: Mutex<HashMap<WorkerId, Vec<IdleConnection>>>,
     connect_times: Mutex<ConnectTimes>,
-    pub(super) lives: Lives,
+    pub(super) incarnations: IncarnationTokens,
 }
 
 impl ConnectionPool {
-    /// Connects to a worker, and waits for it no longer than connecting there usually
-    /// takes. A connection that comes later is kept for the next request.
+    /// Connects to a worker, waiting at most the connect timeout of the worker's zone. A
+    /// connection that is established after the timeout goes to the pool for a later request.
     ///
     /// # Errors
-    /// [`BreakReason::Connect`] or [`BreakReason::Refused`].
+    /// Returns [`BreakReason::Refused`] if the worker's machine refuses the connection, and
+    /// [`BreakReason::Connect`] after the timeout or any other failure.
     pub async fn open(
         self: &Arc<Self>,
         worker: &Arc<WorkerEntry>,
     ) -> Result<WorkerConnection, BreakReason> {
-        let patience = self.connect_times.lock().patience(&worker.zone);
-        let (hand_over, opened) = oneshot::channel();
+        let limit = self.connect_times.lock().connect_timeout(&worker.zone);
+        let (sender, opened) = oneshot::channel();
         let (pool, worker) = (self.clone(), worker.clone());
         tokio::spawn(async move {
             let opened = pool.open_timed(&worker).await;
-            if let Err(Ok(unclaimed)) = hand_over.send(opened) {
+            if let Err(Ok(unclaimed)) = sender.send(opened) {
                 pool.put(&worker.id, unclaimed, None);
             }
         });
-        let in_time = timeout(patience, opened).await;
-        match in_time {
+        let outcome = timeout(limit, opened).await;
+        match outcome {
             Ok(Ok(opened)) => opened,
             Ok(Err(_)) | Err(_) => Err(BreakReason::Connect(format!(
-                "no answer in {} ms",
-                patience.as_millis()
+                "no connection within {} ms",
+                limit.as_millis()
             ))),
         }
     }
@@ -68,24 +72,25 @@
         let began = BootTime::now();
         let connection = WorkerConnection::open(worker.address).await?;
         let mut times = self.connect_times.lock();
-        times.took(&worker.zone, began.elapsed());
+        times.record(&worker.zone, began.elapsed());
         Ok(connection)
     }
 
-    /// Takes a connection to a worker, if one is open.
+    /// Takes a usable idle connection to a worker; `None` if there is none. Expired and closed
+    /// connections that it comes across are dropped.
     pub fn take(&self, worker: &str) -> Option<WorkerConnection> {
         let now = BootTime::now();
         loop {
             let idle = self.idle.lock().get_mut(worker)?.pop()?;
             let mut connection = idle.connection;
-            if idle.until > now && connection.is_reusable() {
+            if idle.expires_at > now && connection.is_reusable() {
                 return Some(connection);
             }
         }
     }
 
-    /// Keeps a connection for the next request, if it may carry one.
-    /// `keep_alive` is the worker's own time for idle connections.
+    /// Keeps a connection for a later request; drops it if it can't carry one or the worker has
+    /// enough idle connections. `keep_alive` is the idle time that the worker advertises.
     pub fn put(
         &self,
         worker: &WorkerId,
@@ -95,41 +100,45 @@
         if !connection.is_reusable() {
             return;
         }
-        let time = keep_alive.map_or(IDLE_TIME, |told| told.saturating_sub(IDLE_MARGIN));
-        let until = BootTime::now() + time.min(IDLE_TIME);
+        let time = keep_alive.map_or(MAX_IDLE_TIME, |time| time.saturating_sub(IDLE_MARGIN));
+        let expires_at = BootTime::now() + time.min(MAX_IDLE_TIME);
         let mut idle = self.idle.lock();
         let kept = idle.entry(worker.clone()).or_default();
-        if kept.len() < KEPT_PER_WORKER {
-            kept.push(Idle { connection, until });
+        if kept.len() < MAX_IDLE_PER_WORKER {
+            kept.push(IdleConnection {
+                connection,
+                expires_at,
+            });
         }
     }
 
-    /// Idle connections to all workers.
+    /// Returns the number of idle connections to all workers.
     pub fn len(&self) -> usize {
         self.idle.lock().values().map(Vec::len).sum()
     }
 
-    /// Whether no connection is idle.
+    /// Returns whether the pool holds no idle connection.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Closes what has been idle for too long.
+    /// Closes expired idle connections and those that the worker has closed.
     pub fn sweep(&self) {
         let now = BootTime::now();
         let mut idle = self.idle.lock();
         for kept in idle.values_mut() {
-            kept.retain_mut(|one| one.until > now && one.connection.is_reusable());
+            kept.retain_mut(|one| one.expires_at > now && one.connection.is_reusable());
         }
         idle.retain(|_, kept| !kept.is_empty());
     }
 
-    /// Ends exchanges with starts of workers of which a later one is listed.
+    /// Ends exchanges with worker incarnations for which `listed` holds a later incarnation; they
+    /// fail with [`BreakReason::Restarted`].
     pub fn cancel_superseded_exchanges(&self, listed: &[WorkerEntry]) {
-        self.lives.end_earlier(listed);
+        self.incarnations.cancel_superseded(listed);
     }
 
-    /// Closes all connections to a worker that is gone.
+    /// Closes all idle connections to a worker that has left the directory.
     pub fn forget(&self, worker: &str) {
         self.idle.lock().remove(worker);
     }
--- a/crates/pinerill-forward/src/exchange/send.rs
+++ b/crates/pinerill-forward/src/exchange/send.rs
@@ -1,4 +1,4 @@
-//! One exchange with one worker: send, head, pieces of the body.
+//! One exchange with one worker: sends the request, then reads the head and body of the response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,64 +13,65 @@
 use pinerill_calls::protocol::{WorkerAnswer, WorkerProtocol};
 
 use super::connection::{BreakReason, WorkerConnection};
-use super::lives::Life;
+use super::incarnations::IncarnationToken;
 use super::pool::ConnectionPool;
 
-/// Header in which workers tell how long they keep idle connections.
+/// Header in which workers advertise how long they keep idle connections.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// A request to a worker, without what differs from attempt to attempt.
+/// The parts of a request to a worker that are the same for every attempt.
 #[derive(Debug, Clone)]
 pub struct WorkerRequest {
-    /// Its method.
+    /// HTTP method: that of the caller's request or of the job's item.
     pub method: Method,
-    /// Path and query.
+    /// Request target: path and query.
     pub uri: Uri,
-    /// Its body.
+    /// Complete request body.
     pub body: Bytes,
-    /// The caller's name for it, which the answer must repeat.
+    /// Request id assigned by the caller. A response that carries another id is rejected.
     pub id: String,
 }
 
-/// An exchange whose answer has begun.
+/// An exchange whose response head has arrived, with the body still to be read. Dropping it
+/// closes the connection.
 pub struct Exchange {
     worker: Arc<WorkerEntry>,
     connection: WorkerConnection,
     body: Incoming,
     keep_alive: Option<Duration>,
     closes: bool,
-    /// The worker's life.
-    life: Life,
+    /// Cancelled when the worker has restarted.
+    incarnation: IncarnationToken,
 }
 
-/// The head of a worker's answer, with the exchange that brings its body.
+/// The head of a worker's response, with the exchange that delivers its body.
 pub struct StartedAnswer {
-    /// The head.
+    /// Status and headers, as received.
     pub head: Parts,
-    /// What the head says.
+    /// Information that the worker protocol reads from the head.
     pub answer: WorkerAnswer,
-    /// The rest.
+    /// Exchange from which the body is read.
     pub exchange: Exchange,
 }
 
-/// A request without an answer.
+/// A request that got no valid response head.
 #[derive(Debug)]
 pub struct SendFailure {
-    /// Whether it may have reached the worker.
+    /// Whether the request may have reached the worker. If not, it is safe to send it again.
     pub sent: bool,
-    /// What happened.
+    /// Cause of the failure.
     pub reason: BreakReason,
 }
 
 impl Exchange {
-    /// Sends a request to a worker and awaits the head of its answer. A
-    /// connection that was idle may have been closed by the worker meanwhile;
-    /// if nothing of the request was sent there, a new one takes its place. Right before the
-    /// request is written, `may_send` has the last word: opening a connection takes time, in
-    /// which news may come or what is known may become too old.
+    /// Sends a request to a worker and awaits the head of its response. Idle connections are
+    /// used first; one that the worker has closed meanwhile is replaced if nothing of the
+    /// request was sent on it. `may_send` is called directly before the request is written,
+    /// because while a connection opens, updates may arrive or the known state may become
+    /// stale.
     ///
     /// # Errors
-    /// [`SendFailure`], which tells whether the request may have arrived.
+    /// Returns [`SendFailure`], which says whether the request may have reached the worker.
     pub async fn begin(
         pool: &Arc<ConnectionPool>,
         protocol: &dyn WorkerProtocol,
@@ -85,8 +86,17 @@
         };
         while let Some(connection) = pool.take(&worker.id) {
             may_send().map_err(not_sent)?;
-            let life = pool.lives.of(&worker.id);
-            match Self::on(connection, life, protocol, worker, request, headers.clone()).await {
+            let incarnation = pool.incarnations.token_for(&worker.id);
+            match Self::send_on(
+                connection,
+                incarnation,
+                protocol,
+                worker,
+                request,
+                headers.clone(),
+            )
+            .await
+            {
                 Err(failure) if !failure.sent => {}
                 other => return other,
             }
@@ -94,22 +104,22 @@
         let opened = pool.open(worker).await;
         let connection = opened.map_err(not_sent)?;
         may_send().map_err(not_sent)?;
-        let life = pool.lives.of(&worker.id);
-        Self::on(connection, life, protocol, worker, request, headers).await
+        let incarnation = pool.incarnations.token_for(&worker.id);
+        Self::send_on(connection, incarnation, protocol, worker, request, headers).await
     }
 
-    async fn on(
+    async fn send_on(
         mut connection: WorkerConnection,
-        life: Life,
+        incarnation: IncarnationToken,
         protocol: &dyn WorkerProtocol,
         worker: &Arc<WorkerEntry>,
         request: &WorkerRequest,
         headers: HeaderMap,
     ) -> Result<StartedAnswer, SendFailure> {
-        let http_request = build(request, headers);
+        let http_request = build_http_request(request, headers);
         let response = tokio::select! {
             response = connection.send(http_request) => response,
-            () = life.cancelled() => {
+            () = incarnation.cancelled() => {
                 let reason = BreakReason::Restarted;
                 return Err(SendFailure { sent: true, reason });
             }
@@ -134,7 +144,7 @@
             body,
             keep_alive: keep_alive(&head.headers),
             closes: answer.closes,
-            life,
+            incarnation,
         };
         Ok(StartedAnswer {
             head,
@@ -143,22 +153,22 @@
         })
     }
 
-    /// The next piece of the body; none at its clean end.
+    /// Returns the next chunk of the body; `None` at its regular end.
     ///
     /// # Errors
-    /// When the answer breaks off or is malformed.
+    /// Returns an error if the response breaks off or is malformed, or if the worker restarts.
     pub async fn next_piece(&mut self) -> Result<Option<Bytes>, BreakReason> {
         tokio::select! {
             piece = self.connection.next_piece(&mut self.body) => piece,
-            () = self.life.cancelled() => Err(BreakReason::Restarted),
+            () = self.incarnation.cancelled() => Err(BreakReason::Restarted),
         }
     }
 
-    /// The whole rest of the body, and the connection kept for another
-    /// request.
+    /// Returns the rest of the body and puts the connection back into the pool.
     ///
     /// # Errors
-    /// When the answer breaks off, is malformed or longer than `limit` bytes.
+    /// Returns an error if the response breaks off, is malformed or exceeds `limit` bytes, or if
+    /// the worker restarts.
     pub async fn read_whole(
         mut self,
         pool: &ConnectionPool,
@@ -168,7 +178,7 @@
         while let Some(piece) = self.next_piece().await? {
             whole.extend_from_slice(&piece);
             if whole.len() > limit {
-                let message = "the answer is too long".to_owned();
+                let message = "the response body exceeds the size limit".to_owned();
                 return Err(BreakReason::Connection(message));
             }
         }
@@ -176,7 +186,8 @@
         Ok(whole.into())
     }
 
-    /// Keeps the connection after an answer that was read to its end.
+    /// Puts the connection back into the pool, unless the worker announced that it closes it. Must
+    /// be called only after the body was read to its end.
     pub fn finish(self, pool: &ConnectionPool) {
         if !self.closes {
             pool.put(&self.worker.id, self.connection, self.keep_alive);
@@ -184,8 +195,9 @@
     }
 }
 
-fn build(request: &WorkerRequest, mut headers: HeaderMap) -> Request<Full<Bytes>> {
-    // The body is sent whole; its length is told by its size alone.
+fn build_http_request(request: &WorkerRequest, mut headers: HeaderMap) -> Request<Full<Bytes>> {
+    // The body is sent as a whole, so hyper derives the content length from it. The caller's
+    // framing and connection headers describe another connection.
     headers.remove(CONTENT_LENGTH);
     headers.remove(TRANSFER_ENCODING);
     headers.remove(CONNECTION);
@@ -196,7 +208,8 @@
     built
 }
 
-/// Seconds of `Keep-Alive: timeout=N`.
+/// Returns the idle time from `Keep-Alive: timeout=N`, which is in seconds; `None` if the header
+/// is missing or malformed.
 fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let mut parts = value.split(',');
--- a/crates/pinerill-forward/src/gateway/jobs.rs
+++ b/crates/pinerill-forward/src/gateway/jobs.rs
@@ -1,4 +1,7 @@
-//! Submissions, results, bodies and ends of jobs.
+//! Requests for jobs: submission, results, item bodies and ending a job.
+//!
+//! The control machines store the jobs; this module forwards requests to them and translates their
+//! responses for callers.
 
 use std::time::Duration;
 
@@ -14,21 +17,21 @@
 use crate::cluster::{Answered, CallFailure};
 use crate::node::Node;
 
-/// Longest wait for the control machines beyond the time that a caller asks
-/// them to wait.
-const ASK_TIME: Duration = Duration::from_millis(2_500);
-/// When to come back while the control machines don't answer.
-const LOST_RETRY: Duration = Duration::from_millis(300);
-/// When to come back while the control machines' disks are taken: room comes with
-/// each job whose results need not be kept any more, so not within a moment, and a
-/// job's caller has seconds.
-const NO_ROOM_RETRY: Duration = Duration::from_secs(2);
+/// Timeout of a request to the control machines, in addition to the long-poll time that the
+/// caller requests.
+const CONTROL_CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Retry delay given to callers while no control machine responds.
+const UNREACHABLE_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Retry delay given to callers while the control machines' disks are full. Space is freed when
+/// the results of a job no longer have to be kept, which takes more than a moment, and callers
+/// that submit jobs can wait for seconds.
+const DISK_FULL_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Whether jobs with these homes can be kept: control machines that hold the group's state
-/// hold all jobs.
+/// Checks that jobs with these allowed regions can be stored. Every control machine that holds
+/// the group's state stores all jobs, so each of them must be in an allowed region.
 ///
 /// # Errors
-/// A refusal if one of them stands elsewhere, or where they stand is not known.
+/// Returns a refusal if one of them is in another region, or if their zones are not known.
 pub(super) fn check_homes(node: &Node, homes: &Homes) -> Result<(), Refusal> {
     let zones = node.cluster.member_zones();
     let is_home = |zone: &String| homes.allow(node.settings.zones.get(zone).map(String::as_str));
@@ -42,15 +45,15 @@
     })
 }
 
-/// Hands a job in. It is kept once the answer says so; an answer that never
-/// came leaves open whether it was.
+/// Submits a job to the control machines. The job is stored once they have accepted it; if no
+/// response arrives, it is unknown whether it was stored.
 pub(super) async fn submit(
     node: &Node,
     job: NewCallJob,
     deadline: BootTime,
 ) -> Result<HttpAnswer, Refusal> {
     let id = job.id.clone();
-    let time = deadline.remaining().min(ASK_TIME);
+    let time = deadline.remaining().min(CONTROL_CALL_TIMEOUT);
     let request = CallsRequest::SubmitJob(Box::new(job));
     let answer = node.cluster.call(&request, time, Duration::ZERO).await;
     let result = match answer {
@@ -69,10 +72,10 @@
             ..
         }) => Err(Refusal::NotRun {
             reason: "the control machines have no room for the job",
-            retry_after: Some(NO_ROOM_RETRY),
+            retry_after: Some(DISK_FULL_RETRY_AFTER),
         }),
         Ok(_) => Err(Refusal::TimedOut),
-        Err(failure) => Err(refusal_of(&failure)),
+        Err(failure) => Err(refusal_for(&failure)),
     };
     if let Err(refusal) = &result {
         log::info!(event = "job_refused", job:% = id, reason:% = refusal; "");
@@ -80,7 +83,8 @@
     result
 }
 
-/// Serves what else a tenant's callers ask of its jobs. A job of another one is not found.
+/// Serves all job requests other than submissions. The job id contains the tenant's name, so a
+/// job of another tenant is not found.
 pub(super) async fn serve(
     node: &Node,
     tenant: Option<&str>,
@@ -88,14 +92,16 @@
 ) -> Result<HttpAnswer, Refusal> {
     let id = |name: &str| CallJobId::new(tenant, name);
     match request {
-        CallerRequest::ReadResults { job, from, wait } => results(node, id(&job), from, wait).await,
-        CallerRequest::ReadItem { job, item } => item_body(node, id(&job), item).await,
-        CallerRequest::EndJob(job) => end(node, id(&job)).await,
+        CallerRequest::ReadResults { job, from, wait } => {
+            read_results(node, id(&job), from, wait).await
+        }
+        CallerRequest::ReadItem { job, item } => read_item_body(node, id(&job), item).await,
+        CallerRequest::EndJob(job) => end_job(node, id(&job)).await,
         CallerRequest::Call(_) => Err(Refusal::NoRoute),
     }
 }
 
-async fn results(
+async fn read_results(
     node: &Node,
     job: CallJobId,
     from: u32,
@@ -106,9 +112,9 @@
         from,
         wait_ms: wait.as_millis() as u64,
     });
-    match ask_near(node, &request, wait).await? {
+    match query(node, &request, wait).await? {
         CallsResponse::Results(Some(page)) => {
-            let texts = texts(&page)?;
+            let texts = decompress_texts(&page)?;
             let answer = CallerAnswer::Results {
                 page: &page,
                 texts: &texts,
@@ -120,7 +126,7 @@
     }
 }
 
-fn texts(page: &ResultPage) -> Result<Vec<Vec<u8>>, Refusal> {
+fn decompress_texts(page: &ResultPage) -> Result<Vec<Vec<u8>>, Refusal> {
     let unreadable = |_| Refusal::WorkerFailed("a stored text can't be read");
     let entries = page.entries.iter();
     entries
@@ -131,9 +137,9 @@
         .collect()
 }
 
-async fn item_body(node: &Node, job: CallJobId, item: String) -> Result<HttpAnswer, Refusal> {
+async fn read_item_body(node: &Node, job: CallJobId, item: String) -> Result<HttpAnswer, Refusal> {
     let request = CallsRequest::ReadItem(ReadItem { job, item });
-    match ask_near(node, &request, Duration::ZERO).await? {
+    match query(node, &request, Duration::ZERO).await? {
         CallsResponse::Item(Some(call)) => {
             let unreadable = Refusal::WorkerFailed("a stored call can't be read");
             let bytes = decompress(&call).map_err(|_| unreadable.clone())?;
@@ -147,32 +153,45 @@
     }
 }
 
-async fn end(node: &Node, job: CallJobId) -> Result<HttpAnswer, Refusal> {
+async fn end_job(node: &Node, job: CallJobId) -> Result<HttpAnswer, Refusal> {
     let request = CallsRequest::EndJob(job);
-    answered(node.cluster.call(&request, ASK_TIME, Duration::ZERO).await)?;
+    response_or_refusal(
+        node.cluster
+            .call(&request, CONTROL_CALL_TIMEOUT, Duration::ZERO)
+            .await,
+    )?;
     Ok(node.caller_protocol.answer(CallerAnswer::JobEnded))
 }
 
-async fn ask_near(
+/// Sends a repeatable request to a control machine in this node's zone, or else to the leader.
+/// `long_poll` is how long the machine may hold its response.
+async fn query(
     node: &Node,
     request: &CallsRequest,
-    hold: Duration,
+    long_poll: Duration,
 ) -> Result<CallsResponse, Refusal> {
-    answered(node.cluster.call_near(request, ASK_TIME + hold, hold).await)
+    response_or_refusal(
+        node.cluster
+            .call_near(request, CONTROL_CALL_TIMEOUT + long_poll, long_poll)
+            .await,
+    )
 }
 
-fn answered(answer: Result<Answered, CallFailure>) -> Result<CallsResponse, Refusal> {
+/// Returns the response to a request that can be repeated safely, or the refusal for the caller.
+fn response_or_refusal(answer: Result<Answered, CallFailure>) -> Result<CallsResponse, Refusal> {
     match answer {
         Ok(answered) => Ok(answered.response),
-        // Asking again does no harm, whatever became of this request.
-        Err(failure) => Err(refusal_of(&CallFailure {
+        // The caller may retry even if this request was carried out.
+        Err(failure) => Err(refusal_for(&CallFailure {
             maybe_done: false,
             ..failure
         })),
     }
 }
 
-fn refusal_of(failure: &CallFailure) -> Refusal {
+/// Returns the refusal for a failed request to the control machines. It is [`Refusal::NotRun`] only
+/// if the request was certainly not carried out.
+fn refusal_for(failure: &CallFailure) -> Refusal {
     if failure.invalid {
         return Refusal::Malformed(failure.message.clone());
     }
@@ -181,6 +200,6 @@
     }
     Refusal::NotRun {
         reason: "no control machine answers",
-        retry_after: Some(LOST_RETRY),
+        retry_after: Some(UNREACHABLE_RETRY_AFTER),
     }
 }
--- a/crates/pinerill-forward/src/gateway/listener.rs
+++ b/crates/pinerill-forward/src/gateway/listener.rs
@@ -1,9 +1,9 @@
-//! Callers' connections.
+//! Accepts and serves callers' connections.
 //!
-//! hyper is used directly: rocket tells a handler neither that its caller has
-//! gone nor lets connections rest for as long as the route table allows. A
-//! caller who goes drops the future that serves it, and with it the connection
-//! to the worker.
+//! The server uses hyper directly, because rocket neither informs a handler that its caller has
+//! disconnected nor lets connections stay idle for as long as the route table allows. When a
+//! caller disconnects, the future that serves it is dropped, and with it the connection to the
+//! worker.
 
 use std::convert::Infallible;
 use std::io;
@@ -25,23 +25,25 @@
 use super::request;
 use crate::node::Node;
 
-/// Unacknowledged bytes, and a caller who takes none, end a connection after this time. One who
-/// reads slowly takes some each few seconds; a call's own deadline ends its answer before.
-const SILENCE_LIMIT: Duration = Duration::from_secs(30);
-/// Time at a stop in which connections end with their next answer, before those
-/// that rest are closed: callers hear of it before they send.
-const CLOSING_LEAD: Duration = Duration::from_millis(2_500);
-/// Bytes that the system holds for a caller who reads slowly; by itself it would grow to some
+/// TCP user timeout: a connection ends if sent bytes stay unacknowledged, or the caller accepts
+/// none, for this time. A caller that reads slowly still accepts some bytes every few seconds,
+/// and the deadline of a call ends its response earlier.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time after the node begins to stop during which a connection is closed only together with its
+/// next response. Idle connections are closed after it, so that callers learn of the stop before they
+/// send on a connection that is being closed.
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2_500);
+/// Socket send buffer for a caller that reads slowly. By default the kernel grows it to several
 /// megabytes.
 const SEND_BUFFER_BYTES: usize = 32 << 10;
-/// Bytes that a connection holds for a caller who reads slowly. What is beyond stays with the
-/// worker, whose answer is then not read any further.
-const HELD_BYTES: usize = 32 << 10;
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Bytes that a connection buffers for a caller that reads slowly. When the buffer is full, the
+/// worker's response is not read any further, so backpressure reaches the worker.
+const CONNECTION_BUFFER_BYTES: usize = 32 << 10;
+/// Delay before the next connection is accepted after an error.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Serves callers until the node stops; then lets what is in flight end,
-/// for `grace` at most.
+/// Serves callers until the node stops. Then drains the requests in flight, for at most `grace`,
+/// while new connections are still accepted for one request each.
 pub(crate) async fn serve(node: Arc<Node>, listener: TcpListener, grace: Duration) {
     let mut connections = JoinSet::new();
     let stopping = node.stopping.clone();
@@ -57,7 +59,7 @@
             }
             Err(error) => {
                 log::warn!(event = "accept_failed", error:%; "");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -86,12 +88,12 @@
     if set_options(&stream).is_err() {
         return;
     }
-    // While the node stops, a new connection carries one request.
+    // While the node stops, a new connection carries only one request.
     let keep_alive = !node.stopping.is_cancelled();
     let limits = node
         .table()
         .map_or_else(RequestLimits::default, |index| index.table().limits);
-    let resting = Duration::from_millis(limits.idle_timeout_ms.max(limits.header_timeout_ms));
+    let idle_timeout = Duration::from_millis(limits.idle_timeout_ms.max(limits.header_timeout_ms));
     let stopping = node.stopping.clone();
     let service = service_fn(move |received| {
         let node = node.clone();
@@ -108,21 +110,21 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .keep_alive(keep_alive)
-        .header_read_timeout(resting)
-        .max_buf_size(HELD_BYTES.max(limits.max_header_bytes as usize * 2))
+        .header_read_timeout(idle_timeout)
+        .max_buf_size(CONNECTION_BUFFER_BYTES.max(limits.max_header_bytes as usize * 2))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
-    let lead = async {
+    let idle_close = async {
         stopping.cancelled().await;
-        sleep(CLOSING_LEAD).await;
+        sleep(IDLE_CLOSE_DELAY).await;
     };
     let ended = tokio::select! {
         ended = connection.as_mut() => Some(ended),
-        () = lead => None,
+        () = idle_close => None,
     };
     if ended.is_none() {
         connection.as_mut().graceful_shutdown();
-        // A caller that goes away is no error of this node.
+        // A caller that disconnects is not an error of this node.
         let _ = connection.await;
     }
 }
@@ -131,5 +133,5 @@
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_send_buffer_size(SEND_BUFFER_BYTES)?;
-    socket.set_tcp_user_timeout(Some(SILENCE_LIMIT))
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
--- a/crates/pinerill-forward/src/gateway/mod.rs
+++ b/crates/pinerill-forward/src/gateway/mod.rs
@@ -1,10 +1,10 @@
-//! Callers' connections and requests, up to where a call runs.
+//! HTTP server for callers: accepts connections, and authorizes and dispatches requests.
 //!
-//! | module | job |
+//! | module | purpose |
 //! |---|---|
-//! | `listener` | connections; closes them in a planned way at a stop |
-//! | `request` | one request: head, route, admission, body, and what serves it |
-//! | `jobs` | submissions, results, bodies and ends of jobs |
+//! | `listener` | accepts connections and drains them when the node stops |
+//! | `request` | one request: route, key, admission and body, then the handler for it |
+//! | `jobs` | submits jobs, returns results and item bodies, and ends jobs |
 
 mod jobs;
 mod listener;
--- a/crates/pinerill-forward/src/gateway/request.rs
+++ b/crates/pinerill-forward/src/gateway/request.rs
@@ -1,4 +1,5 @@
-//! One request: head, route, key, limit, body, and what serves it.
+//! Handles one request: reads its head, checks route, key and quota, reads the body and passes it
+//! to the handler.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,14 +22,14 @@
 use crate::node::Node;
 use crate::quota::{self, Permit};
 
-/// When to come back to a node that has no route table yet: a little later than
-/// a cluster that starts as a whole knows its workers.
-const STARTING_RETRY: Duration = Duration::from_millis(600);
+/// Retry delay given to callers by a node that has no route table yet. It is a little longer than
+/// a cluster whose processes all start at once takes to know its workers.
+const STARTING_RETRY_AFTER: Duration = Duration::from_millis(600);
 
-/// When to come back, to another node, while this one stops.
-const STOPPING_RETRY: Duration = Duration::from_millis(50);
+/// Retry delay given to callers while this node stops; they retry at another node.
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Answers one request.
+/// Serves one request and returns the response, which may be a refusal.
 pub(super) async fn serve(node: Arc<Node>, request: Request<Incoming>) -> Response<AnswerBody> {
     node.metrics.requests.inc();
     let arrived = BootTime::now();
@@ -51,10 +52,10 @@
         Ok(other) => serve_jobs(&node, &head, key, other).await,
         Err(error) => Err(Refusal::Malformed(error.to_string())),
     };
-    answered.unwrap_or_else(|refusal| refused(&node, &id, &path, &refusal))
+    answered.unwrap_or_else(|refusal| refusal_response(&node, &id, &path, &refusal))
 }
 
-/// A call as it was received.
+/// A call whose head has arrived and whose body is not read yet.
 struct Received {
     head: Parts,
     key: PresentedKey,
@@ -63,7 +64,7 @@
     arrived: BootTime,
 }
 
-/// Serves what callers ask of jobs, each of its own tenant's.
+/// Serves a request for a stored job. Each tenant has access to its own jobs only.
 async fn serve_jobs(
     node: &Node,
     head: &Parts,
@@ -74,12 +75,12 @@
     let host = node.caller_protocol.host(&head.headers);
     let access = table.access_to_jobs(host, key).map_err(Refusal::Denied)?;
     let answer = jobs::serve(node, access.name(), request).await?;
-    Ok(own_answer(answer))
+    Ok(into_response(answer))
 }
 
-/// Refuses a request. A path names the job or item where there is no
-/// identifier.
-fn refused(node: &Node, id: &str, path: &str, refusal: &Refusal) -> Response<AnswerBody> {
+/// Logs a refusal and returns the response for it. The log line contains the path because requests
+/// for jobs have no id, and their path names the job or item.
+fn refusal_response(node: &Node, id: &str, path: &str, refusal: &Refusal) -> Response<AnswerBody> {
     let answer = node.caller_protocol.answer(CallerAnswer::Refused(refusal));
     let status = answer.status.as_u16();
     node.metrics.refused(status);
@@ -88,10 +89,10 @@
         event = "request_refused", id, path, status, table:? = table,
         directory_age_ms = node.directory_age_ms(), reason:% = refusal; ""
     );
-    own_answer(answer)
+    into_response(answer)
 }
 
-fn own_answer(answer: HttpAnswer) -> Response<AnswerBody> {
+fn into_response(answer: HttpAnswer) -> Response<AnswerBody> {
     let body = Full::new(answer.body).map_err(|never| match never {});
     let mut response = Response::new(body.boxed_unsync());
     *response.status_mut() = answer.status;
@@ -99,7 +100,8 @@
     response
 }
 
-/// Route, key and limit are checked before the body is read.
+/// Serves a call or the submission of a job. Route, key and quota are checked before the body is
+/// read.
 async fn serve_call(node: Arc<Node>, received: Received) -> Result<Response<AnswerBody>, Refusal> {
     let table = admit(&node).await?;
     let Received {
@@ -124,9 +126,9 @@
             .caller_protocol
             .read_job(&call, access.name(), path, &route, &body)
             .map_err(|error| Refusal::Malformed(error.to_string()))?;
-        return jobs::submit(&node, job, deadline).await.map(own_answer);
+        return jobs::submit(&node, job, deadline).await.map(into_response);
     }
-    let permit = permit(&node, &access, deadline).await?;
+    let permit = acquire_permit(&node, &access, deadline).await?;
     let body = read_body(body, limit, deadline).await?;
     let admitted = Admitted {
         head,
@@ -141,8 +143,9 @@
     run_call(node, admitted.into_call(&table)?).await
 }
 
-/// What lets a call of a tenant with a limit pass.
-async fn permit(
+/// Waits for a quota permit if the call's tenant has a limit on requests; returns `None` if it
+/// has none.
+async fn acquire_permit(
     node: &Arc<Node>,
     access: &Access,
     deadline: BootTime,
@@ -155,27 +158,33 @@
     }
 }
 
-/// A call that comes late in a stop would be cut at its end. A node without a
-/// route table can't say that a route does not exist.
+/// Returns the route table if the node accepts calls, after waiting while the known state is
+/// stale from a suspension of the machine. A call that arrives late while the node stops is
+/// refused, because its response would be cut off at the end. A node without a route table
+/// refuses calls too, because it can't know that a route does not exist.
 async fn admit(node: &Node) -> Result<Arc<RouteIndex>, Refusal> {
     if node.takes_no_more() {
         return Err(Refusal::NotRun {
             reason: "the node stops",
-            retry_after: Some(STOPPING_RETRY),
+            retry_after: Some(STOPPING_RETRY_AFTER),
         });
     }
     node.until_awake().await;
     known_table(node).await
 }
 
+/// Returns the route table, waiting briefly for the first one if the node has just started.
+///
+/// # Errors
+/// Returns a refusal with a retry delay if there is no table yet.
 async fn known_table(node: &Node) -> Result<Arc<RouteIndex>, Refusal> {
     node.first_table().await.ok_or(Refusal::NotRun {
         reason: "no route table yet",
-        retry_after: Some(STARTING_RETRY),
+        retry_after: Some(STARTING_RETRY_AFTER),
     })
 }
 
-/// A call that was admitted, with its body.
+/// A call that passed all checks, with its body.
 struct Admitted {
     head: Parts,
     call: CallHead,
--- a/crates/pinerill-forward/tests/decision.rs
+++ b/crates/pinerill-forward/tests/decision.rs
@@ -1,4 +1,5 @@
-//! What follows an attempt.
+//! Retry decisions after an attempt. They guard against running a call twice that must not be
+//! repeated, and against reporting a call as not run that may have run.
 
 use pinerill_calls::protocol::Refusal;
 use pinerill_calls::table::RouteKind;
@@ -14,48 +15,51 @@
 ];
 
 #[test]
-fn a_call_that_did_not_run_is_tried_again_whatever_its_kind() {
+fn calls_that_did_not_run_are_retried_for_every_route_kind() {
     for kind in KINDS {
         let mut progress = CallProgress::new(kind, 1);
         for _ in 0..10 {
-            assert_eq!(progress.after(AttemptEnd::NotRun, true), Next::Again);
+            assert_eq!(progress.next_after(AttemptEnd::NotRun, true), Next::Retry);
         }
     }
 }
 
 #[test]
-fn a_call_not_to_be_repeated_is_never_sent_after_it_may_have_run() {
+fn non_repeatable_calls_are_not_resent_after_a_possible_run() {
     for kind in [RouteKind::AtMostOnce, RouteKind::Stream] {
         let mut progress = CallProgress::new(kind, 5);
-        let next = progress.after(AttemptEnd::MayHaveRun, true);
+        let next = progress.next_after(AttemptEnd::MayHaveRun, true);
         assert!(matches!(next, Next::Refuse(Refusal::WorkerFailed(_))));
         assert!(!progress.may_be_sent());
     }
 }
 
 #[test]
-fn a_repeatable_call_runs_on_as_many_workers_as_its_route_allows() {
+fn repeatable_calls_run_on_at_most_as_many_workers_as_the_route_allows() {
     let mut progress = CallProgress::new(RouteKind::ResumableStream, 2);
-    assert_eq!(progress.after(AttemptEnd::MayHaveRun, true), Next::Again);
-    let next = progress.after(AttemptEnd::MayHaveRun, true);
+    assert_eq!(
+        progress.next_after(AttemptEnd::MayHaveRun, true),
+        Next::Retry
+    );
+    let next = progress.next_after(AttemptEnd::MayHaveRun, true);
     assert!(matches!(next, Next::Refuse(Refusal::WorkerFailed(_))));
 }
 
 #[test]
-fn a_silent_worker_is_left_only_if_another_one_may_go_on() {
+fn fail_over_requires_a_repeatable_call_with_another_run_left() {
     let mut progress = CallProgress::new(RouteKind::ResumableStream, 2);
-    assert!(progress.may_go_on_elsewhere());
-    progress.after(AttemptEnd::MayHaveRun, true);
-    assert!(!progress.may_go_on_elsewhere(), "this is the last run");
-    assert!(!CallProgress::new(RouteKind::ResumableStream, 1).may_go_on_elsewhere());
-    assert!(!CallProgress::new(RouteKind::Stream, 5).may_go_on_elsewhere());
+    assert!(progress.may_fail_over());
+    progress.next_after(AttemptEnd::MayHaveRun, true);
+    assert!(!progress.may_fail_over(), "no further run is allowed");
+    assert!(!CallProgress::new(RouteKind::ResumableStream, 1).may_fail_over());
+    assert!(!CallProgress::new(RouteKind::Stream, 5).may_fail_over());
 }
 
 proptest! {
-    /// `not run` is a promise: it is never given after an attempt that may
-    /// have run, and always with a time to come back.
+    /// Callers rely on `NotRun` to repeat a call safely: it is never returned after an attempt
+    /// that may have run, and always carries a retry delay.
     #[test]
-    fn not_run_is_true(
+    fn not_run_is_reported_only_if_no_worker_may_have_run_the_call(
         kind in prop::sample::select(KINDS.to_vec()),
         attempts in 0u32..4,
         ends in proptest::collection::vec(prop::bool::ANY, 1..8),
@@ -69,11 +73,11 @@
                 false => AttemptEnd::NotRun,
             };
             ran |= may_have_run;
-            let told = match progress.after(end, has_time) {
-                Next::Again => progress.out_of_time(),
+            let refusal = match progress.next_after(end, has_time) {
+                Next::Retry => progress.timeout_refusal(),
                 Next::Refuse(refusal) => refusal,
             };
-            match told {
+            match refusal {
                 Refusal::NotRun { retry_after, .. } => {
                     prop_assert!(!ran);
                     prop_assert!(retry_after.is_some());
@@ -85,10 +89,10 @@
 }
 
 #[test]
-fn a_call_known_to_crash_workers_ends_without_a_promise_or_an_invitation() {
+fn calls_known_to_crash_workers_are_refused_without_not_run_or_retry_after() {
     for kind in KINDS {
         let mut progress = CallProgress::new(kind, 3);
-        let next = progress.after(AttemptEnd::CrashesWorkers, true);
+        let next = progress.next_after(AttemptEnd::CrashesWorkers, true);
         assert_eq!(next, Next::Refuse(Refusal::CrashesWorkers));
     }
 }
--- a/crates/pinerill-forward/tests/events.rs
+++ b/crates/pinerill-forward/tests/events.rs
@@ -1,4 +1,5 @@
-//! Events of a worker's answer, however they are cut into pieces.
+//! Scanning of a worker's event stream: incomplete events, event order, size limit and arbitrary
+//! chunk boundaries.
 
 use pinerill_forward::exchange::{EventOrderError, EventScanner, EventText};
 use proptest::prelude::*;
@@ -9,7 +10,7 @@
 }
 
 #[test]
-fn only_whole_events_are_handed_on() {
+fn only_complete_events_are_returned() {
     let mut scanner = EventScanner::default();
     let batch = scanner
         .push(b"id: 1\ndata: a\n\nid: 2\nda")
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn a_missing_or_doubled_event_ends_the_series() {
+fn missing_and_duplicate_events_are_rejected() {
     for second in [1, 3] {
         let mut scanner = EventScanner::default();
         scanner.push(&series(1, 1)).expect("in order");
@@ -32,12 +33,12 @@
             found: second,
         };
         assert_eq!(scanner.push(&series(second, second)), Err(expected));
-        assert_eq!(scanner.last(), Some(1), "what was handed on counts");
+        assert_eq!(scanner.last(), Some(1), "only returned events count");
     }
 }
 
 #[test]
-fn a_series_goes_on_behind_the_last_event_only() {
+fn a_resumed_stream_must_continue_after_the_last_event() {
     let mut right = EventScanner::after(Some(4));
     assert!(right.push(&series(5, 6)).is_ok());
     let mut again = EventScanner::after(Some(4));
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn events_without_a_number_pass() {
+fn events_without_an_id_are_accepted() {
     let mut scanner = EventScanner::after(Some(1));
     let batch = scanner.push(b": comment\n\ndata: x\n\n").expect("passes");
     assert_eq!(batch.count, 2);
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn an_endless_event_is_refused() {
+fn events_over_the_size_limit_are_rejected() {
     let mut scanner = EventScanner::default();
     let piece = vec![b'x'; 700 << 10];
     assert!(scanner.push(&piece).is_ok());
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn a_text_joins_the_data_of_all_events() {
+fn event_text_joins_the_data_of_all_events() {
     let mut text = EventText::default();
     text.append(b"id: 1\ndata:\n\nid: 2\ndata: b c\n\n");
     text.append(b"x-version: 3\nid: 3\ndata:d\n\n");
@@ -70,22 +71,22 @@
 
 proptest! {
     #[test]
-    fn pieces_make_no_difference(
+    fn the_result_does_not_depend_on_chunk_boundaries(
         count in 1u64..30,
         cuts in proptest::collection::vec(1usize..40, 1..40),
     ) {
         let whole = series(1, count);
         let mut scanner = EventScanner::default();
-        let mut handed_on = Vec::new();
+        let mut returned = Vec::new();
         let mut rest = &whole[..];
         let mut cuts = cuts.iter().cycle();
         while !rest.is_empty() {
             let length = rest.len().min(*cuts.next().expect("endless"));
             let (piece, left) = rest.split_at(length);
             rest = left;
-            handed_on.extend_from_slice(&scanner.push(piece).expect("in order").bytes);
+            returned.extend_from_slice(&scanner.push(piece).expect("in order").bytes);
         }
-        prop_assert_eq!(handed_on, whole);
+        prop_assert_eq!(returned, whole);
         prop_assert_eq!(scanner.last(), Some(count));
     }
 }
