--- a/crates/pinerill-forward/src/confirmation.rs
+++ b/crates/pinerill-forward/src/confirmation.rs
@@ -1,8 +1,8 @@
-//! Makes sure, right before something is sent to a worker, that the worker stays.
+//! Confirms, right before something is sent to a worker, that the worker is not about to leave.
 //!
-//! Mostly the last reading of the platform list says so, or an answer of the worker's own. Where
-//! both are too old ([`crate::fleet::Standing`]) the worker's health is checked first. One
-//! that can't be asked, or doesn't say that it stays, gets nothing.
+//! Usually the last reading of the platform list or an answer of the worker itself confirms this.
+//! If both are too old ([`crate::fleet::Standing`]), the worker's health is checked first. Nothing
+//! is sent to a worker that does not answer the health check or does not report itself healthy.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Weak};
@@ -19,34 +19,36 @@
 use crate::fleet::{SlowStartPermit, Standing};
 use crate::node::Node;
 
-/// Longest wait for a health check. It waits for a slot there like a request;
-/// the request that shall follow has a slot that is believed to be free.
-const HEALTH_CHECK_TIME: Duration = Duration::from_millis(500);
+/// Timeout of a health check. The health check waits for a slot at the worker like a request; the
+/// request that follows it goes to a slot that is estimated to be free.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// HealthChecks under way, so that of several requests for one worker the first asks for all.
+/// Health checks in flight, by worker. Requests for the same worker share one check: the first one
+/// runs it and the others wait for its result.
 #[derive(Default)]
 pub(crate) struct HealthChecks {
-    running: Mutex<HashMap<WorkerId, Weak<AsyncMutex<()>>>>,
+    in_flight: Mutex<HashMap<WorkerId, Weak<AsyncMutex<()>>>>,
 }
 
 impl HealthChecks {
-    fn of(&self, worker: &WorkerId) -> Arc<AsyncMutex<()>> {
-        let mut running = self.running.lock();
-        if let Some(held) = running.get(worker).and_then(Weak::upgrade) {
-            return held;
+    fn lock_for(&self, worker: &WorkerId) -> Arc<AsyncMutex<()>> {
+        let mut in_flight = self.in_flight.lock();
+        if let Some(lock) = in_flight.get(worker).and_then(Weak::upgrade) {
+            return lock;
         }
-        running.retain(|_, held| held.strong_count() > 0);
-        let turn = Arc::new(AsyncMutex::new(()));
-        running.insert(worker.clone(), Arc::downgrade(&turn));
-        turn
+        in_flight.retain(|_, lock| lock.strong_count() > 0);
+        let lock = Arc::new(AsyncMutex::new(()));
+        in_flight.insert(worker.clone(), Arc::downgrade(&lock));
+        lock
     }
 }
 
 impl Node {
-    /// Makes sure that a worker may be sent something new.
+    /// Confirms that new requests may be sent to a worker, checking its health if the known state
+    /// is too old.
     ///
     /// # Errors
-    /// Why it may not.
+    /// Returns the reason why nothing may be sent.
     pub(crate) async fn confirm(
         &self,
         worker: &Arc<WorkerEntry>,
@@ -55,9 +57,9 @@
         if self.standing(worker) != Standing::Unconfirmed {
             return self.may_send(worker, permit);
         }
-        let turn = self.health_checks.of(&worker.id);
-        let asked = timeout(HEALTH_CHECK_TIME, async {
-            let _turn = turn.lock().await;
+        let lock = self.health_checks.lock_for(&worker.id);
+        let asked = timeout(HEALTH_CHECK_TIMEOUT, async {
+            let _guard = lock.lock().await;
             match self.standing(worker) {
                 Standing::Unconfirmed => self.check_health_of(worker).await,
                 Standing::Confirmed | Standing::Leaving | Standing::Evacuated => Ok(()),
@@ -70,10 +72,10 @@
         self.may_send(worker, permit)
     }
 
-    /// Whether something new may be sent to a worker at this moment.
+    /// Returns `Ok` if a new request may be sent to a worker at this moment.
     ///
     /// # Errors
-    /// Why not.
+    /// Returns the reason why it may not.
     pub(crate) fn may_send(
         &self,
         worker: &WorkerEntry,
@@ -92,15 +94,16 @@
         }
     }
 
-    /// Takes in what the head of a worker's answer says of the worker. `asked_ms` is when the
-    /// request was sent at the earliest.
+    /// Updates what is known of a worker from the head of its answer: its load, and whether it is
+    /// still in service. `asked_ms` is the earliest time at which the request may have been sent.
     pub(crate) fn record_worker_answer(&self, asked_ms: u64, worker: &str, answer: &WorkerAnswer) {
         if let Some(load) = answer.load {
             self.take_load(worker, load);
         }
-        let is_another = answer.verdict == Verdict::NotRun(NotRunReason::OtherWorker);
-        // A worker that leaves closes its connections, though not only such a one does.
-        if !answer.closes && !is_another {
+        let is_other_worker = answer.verdict == Verdict::NotRun(NotRunReason::OtherWorker);
+        // A leaving worker closes its connections, but a worker may close one for other reasons
+        // too.
+        if !answer.closes && !is_other_worker {
             self.with_fleet(|fleet, _| fleet.confirm_worker(asked_ms, worker));
         }
     }
--- a/crates/pinerill-forward/src/dispatch/claims.rs
+++ b/crates/pinerill-forward/src/dispatch/claims.rs
@@ -1,94 +1,98 @@
-//! Which node of a zone takes a place that several can see. Pure.
+//! Decides which node of a zone may use a free slot that several nodes see. Pure.
 //!
-//! While calls wait at many nodes, a place that is seen to be free is seen by all of them
-//! at once, and the next telling of counts comes milliseconds later. If each sent a call,
-//! all but one would wait in the worker's queue, where nothing can be done for them. So the
-//! place falls to one of the nodes, by weighted rendezvous hashing of the worker over the
-//! nodes at which calls wait, which all compute alike. If it is free still a moment later,
-//! that node does not want it, and it falls to the next one too.
+//! While calls wait at many nodes, all of them see a free slot at the same time, and the next
+//! broadcast of request counts is milliseconds away. If each node sent a call, all but one would
+//! wait in the worker's own queue, where no node can reorder or move them. The slot is therefore
+//! assigned to one node by weighted rendezvous hashing of the worker over the nodes that have
+//! waiting calls; all nodes compute the same result. If the slot is still free a moment later, that
+//! node does not need it, and the next node may use it too.
 //!
-//! On a fleet of 50 nodes, 72 workers of 6 slots and bursts that need 1.1 times the slots
-//! there are, 251 calls of one burst waited longer than 150 ms in the queue of a worker, 223
-//! of them at one to which another node had sent a call less than 30 ms before. With this and
-//! with places that are handed over ([`super::Dispatcher`]) 46 did (2.6 s of one day).
+//! On a fleet of 50 nodes and 72 workers with 6 slots each, in bursts that need 1.1 times the
+//! available slots, 251 calls of one burst waited longer than 150 ms in a worker's queue without
+//! this; 223 of them were at a worker to which another node had sent a call less than 30 ms before.
+//! With this assignment and with slots that are granted or promised as soon as they become free
+//! ([`super::Dispatcher`]), 46 calls did (2.6 s of one day).
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 use crate::fleet::WorkerKey;
 
-/// Time after which a place that is seen to be free falls to one more node, milliseconds:
-/// the node to which it fell first has told by then that it sent a call there.
-const NEXT_NODE_MS: u64 = 15;
-/// A place that was not seen for so long is seen anew, milliseconds: lines are looked
-/// through each 15.
-const SEEN_LIFE_MS: u64 = 40;
+/// Time after which one more node may use a slot that stays free, in milliseconds. By then the
+/// previous node has broadcast the call that it sent there, if it sent one.
+const NEXT_NODE_DELAY_MS: u64 = 15;
+/// Time after which an observation of free slots expires, in milliseconds. Each node scans its
+/// queue every 15 ms, so a slot that stays free is observed again before that.
+const OBSERVATION_TTL_MS: u64 = 40;
 
-/// A node at which calls wait, and how many.
+/// A node with waiting calls that competes for free slots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Contender {
-    /// Where the node hears others.
+    /// Address at which the node receives messages of its peers; identifies the node.
     pub node: SocketAddr,
-    /// Calls that wait there.
+    /// Number of calls that wait at the node; its weight in the hash.
     pub waiting: u32,
 }
 
-/// How many other nodes come before `own` at a worker's free places.
-pub fn nodes_before(own: Contender, others: &[Contender], worker: WorkerKey) -> usize {
-    let own_turn = turn(own, worker);
+/// Returns how many of the `others` that have waiting calls precede `own` in the claim order at
+/// `worker`.
+pub fn nodes_ahead(own: Contender, others: &[Contender], worker: WorkerKey) -> usize {
+    let own_key = claim_key(own, worker);
     others
         .iter()
-        .filter(|other| other.waiting > 0 && turn(**other, worker) < own_turn)
+        .filter(|other| other.waiting > 0 && claim_key(**other, worker) < own_key)
         .count()
 }
 
-/// A node's turn at a worker; the lowest comes first. More calls make a low one likelier,
-/// in proportion.
-fn turn(contender: Contender, worker: WorkerKey) -> f64 {
+/// Returns the sort key of a node in a worker's claim order; the lowest key claims first. The
+/// probability of being first is proportional to the number of calls that wait at the node.
+fn claim_key(contender: Contender, worker: WorkerKey) -> f64 {
     let hash = worker.mixed_with(contender.node);
-    let drawn = (hash as f64 + 1.0) / (u64::MAX as f64 + 2.0);
-    -drawn.ln() / f64::from(contender.waiting.max(1))
+    let uniform = (hash as f64 + 1.0) / (u64::MAX as f64 + 2.0);
+    -uniform.ln() / f64::from(contender.waiting.max(1))
 }
 
-/// Since when places are seen to be free.
+/// Remembers since when each worker has been observed with free slots.
 #[derive(Debug, Default)]
-pub struct SeenPlaces {
-    seen: HashMap<WorkerKey, Seen>,
+pub struct FreeSlotClaims {
+    observations: HashMap<WorkerKey, Observation>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Seen {
+struct Observation {
     first_ms: u64,
     last_ms: u64,
 }
 
-impl SeenPlaces {
-    /// Whether a node may take one of `free` places at a worker that has `before` others
-    /// before it there.
-    pub fn may_take(&mut self, now_ms: u64, worker: WorkerKey, free: usize, before: usize) -> bool {
-        if before < free {
+impl FreeSlotClaims {
+    /// Returns whether this node may use one of the `free` slots of a worker when `ahead` other
+    /// nodes precede it in the claim order. One more node may for every `NEXT_NODE_DELAY_MS` that
+    /// the slots stay free.
+    pub fn may_claim(&mut self, now_ms: u64, worker: WorkerKey, free: usize, ahead: usize) -> bool {
+        if ahead < free {
             return true;
         }
-        let seen = self.seen.entry(worker).or_insert(Seen {
+        let seen = self.observations.entry(worker).or_insert(Observation {
             first_ms: now_ms,
             last_ms: now_ms,
         });
-        if now_ms > seen.last_ms + SEEN_LIFE_MS {
+        if now_ms > seen.last_ms + OBSERVATION_TTL_MS {
             seen.first_ms = now_ms;
         }
         seen.last_ms = now_ms;
-        let more_nodes = now_ms.saturating_sub(seen.first_ms) / NEXT_NODE_MS;
-        before < free + more_nodes as usize
+        let more_nodes = now_ms.saturating_sub(seen.first_ms) / NEXT_NODE_DELAY_MS;
+        ahead < free + more_nodes as usize
     }
 
-    /// Forgets places that were not seen for a while.
-    pub fn forget_old(&mut self, now_ms: u64) {
-        self.seen
-            .retain(|_, seen| now_ms <= seen.last_ms + SEEN_LIFE_MS);
+    /// Removes observations that have expired.
+    pub fn remove_stale(&mut self, now_ms: u64) {
+        self.observations
+            .retain(|_, seen| now_ms <= seen.last_ms + OBSERVATION_TTL_MS);
     }
 
-    /// A place there was taken: what is free from now on is seen anew.
-    pub fn taken(&mut self, worker: WorkerKey) {
-        self.seen.remove(&worker);
+    /// Discards the observation of a worker after this node used a slot there, so that the delays
+    /// start anew for the slots that remain free.
+    pub fn record_claim(&mut self, worker: WorkerKey) {
+        self.observations.remove(&worker);
     }
 }
--- a/crates/pinerill-forward/src/dispatch/demand.rs
+++ b/crates/pinerill-forward/src/dispatch/demand.rs
@@ -1,11 +1,12 @@
-//! What the nodes of a zone lack, and the part of it that this node makes good. Pure.
+//! Waiting calls and preemptible items of the nodes in a zone, and this node's share in serving
+//! them. Pure.
 //!
-//! A call waits at one node while a place becomes free at another, and the item that
-//! can spare its place runs at a third. With ten nodes they are often the same; with
-//! fifty and as many items they hardly ever are. So nodes tell how many calls wait there
-//! and how many items could give way, each makes good its part of what the zone lacks,
-//! and a place that becomes free is promised to one of the nodes that wait: if all of
-//! them saw it, all would send there.
+//! A call may wait at one node while a slot becomes free at a second, and the batch item that could
+//! yield its slot runs at a third. With ten nodes these are often the same node; with fifty nodes
+//! and as many items they hardly ever are. Nodes therefore broadcast how many calls wait and how
+//! many items could be preempted. Each node preempts its share of what the zone is short of, and a
+//! slot that becomes free is promised to a single waiting node, because otherwise all waiting nodes
+//! would see it and send a call there.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,73 +15,74 @@
 
 use super::claims::Contender;
 
-/// How long what a node told counts, milliseconds: it tells again after half a second.
-const TOLD_LIFE_MS: u64 = 700;
-/// Time after items gave way to calls of other nodes in which no more do so,
-/// milliseconds: until these nodes have told what still waits there.
-const SETTLING_MS: u64 = 30;
+/// Time for which a node's report counts, in milliseconds. Nodes report again after 500 ms.
+const REPORT_TTL_MS: u64 = 700;
+/// Time after a preemption for calls of other nodes in which no more items of that service are
+/// preempted for them, in milliseconds. By then these nodes have reported what still waits there.
+const PREEMPTION_PAUSE_MS: u64 = 30;
 
-/// What a node lacks and can spare of one service.
+/// Waiting calls and preemptible items of one service at one node, as broadcast to its peers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceDemand {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Calls that wait for a place.
+    /// Number of calls that wait for a slot.
     pub waiting: u32,
-    /// Running items that could give way.
+    /// Number of running items that could be preempted.
     pub yielding: u32,
 }
 
 impl ServiceDemand {
-    /// Calls that the node's own items can't help.
+    /// Returns the number of waiting calls that remain after the node has preempted all its own
+    /// items.
     fn lacking(&self) -> u32 {
         self.waiting.saturating_sub(self.yielding)
     }
 
-    /// Items that its own calls don't need.
+    /// Returns the number of preemptible items that the node does not need for its own calls.
     fn spare(&self) -> u32 {
         self.yielding.saturating_sub(self.waiting)
     }
 }
 
 #[derive(Debug)]
-struct Told {
+struct PeerReport {
     at_ms: u64,
     demand: Vec<ServiceDemand>,
 }
 
-/// What the other nodes of the zone told.
+/// The latest demand reports of the other nodes in the zone.
 #[derive(Debug, Default)]
 pub struct ZoneDemand {
-    told: HashMap<SocketAddr, Told>,
-    /// When items of each service last gave way to other nodes' calls.
-    helped_ms: HashMap<String, u64>,
+    reports: HashMap<SocketAddr, PeerReport>,
+    /// Time of the last preemption for calls of other nodes, by service.
+    preempted_ms: HashMap<String, u64>,
 }
 
 impl ZoneDemand {
-    /// Takes in what a node told.
-    pub fn take(&mut self, now_ms: u64, peer: SocketAddr, demand: Vec<ServiceDemand>) {
+    /// Replaces the report of a peer. An empty `demand` removes it.
+    pub fn update(&mut self, now_ms: u64, peer: SocketAddr, demand: Vec<ServiceDemand>) {
         if demand.is_empty() {
-            self.told.remove(&peer);
+            self.reports.remove(&peer);
             return;
         }
-        let told = Told {
+        let report = PeerReport {
             at_ms: now_ms,
             demand,
         };
-        self.told.insert(peer, told);
+        self.reports.insert(peer, report);
     }
 
-    /// Calls of a service that wait at other nodes.
+    /// Returns the number of calls of a service that wait at other nodes.
     pub fn waiting(&self, now_ms: u64, service: &str) -> u32 {
-        self.of_service(now_ms, service)
+        self.fresh_reports(now_ms, service)
             .map(|(_, one)| one.waiting)
             .sum()
     }
 
-    /// The other nodes at which calls of a service wait.
+    /// Returns the other nodes that have waiting calls of a service.
     pub fn contenders(&self, now_ms: u64, service: &str) -> Vec<Contender> {
-        let nodes = self.of_service(now_ms, service);
+        let nodes = self.fresh_reports(now_ms, service);
         let waiting = nodes.filter(|(_, one)| one.waiting > 0);
         waiting
             .map(|(node, one)| Contender {
@@ -90,45 +92,50 @@
             .collect()
     }
 
-    /// Calls of any service that wait at other nodes.
+    /// Returns whether any call waits at another node, whatever its service.
     pub fn any_waiting(&self, now_ms: u64) -> bool {
-        let mut fresh = self.told.values().filter(|told| told.is_fresh(now_ms));
-        fresh.any(|told| told.demand.iter().any(|one| one.waiting > 0))
+        let mut fresh = self
+            .reports
+            .values()
+            .filter(|report| report.is_fresh(now_ms));
+        fresh.any(|report| report.demand.iter().any(|one| one.waiting > 0))
     }
 
-    /// The node to which a free place of a service goes, drawn by the number of calls that
-    /// wait there; one of these counts as served. `draw` lies between 0 and 1.
-    pub fn promise(&mut self, now_ms: u64, service: &str, draw: f64) -> Option<SocketAddr> {
+    /// Selects the node that gets a free slot of a service, with a probability proportional to the
+    /// calls that wait there, and counts one of these as served. `draw` is a random number between
+    /// 0 and 1. Returns `None` if no call of the service waits.
+    pub fn promise_slot(&mut self, now_ms: u64, service: &str, draw: f64) -> Option<SocketAddr> {
         let waiting = self.waiting(now_ms, service);
         if waiting == 0 {
             return None;
         }
-        let mut passed = (draw * f64::from(waiting)) as u32;
+        let mut to_skip = (draw * f64::from(waiting)) as u32;
         let mut chosen = None;
-        for (peer, one) in self.of_service(now_ms, service) {
-            if one.waiting > passed {
+        for (peer, one) in self.fresh_reports(now_ms, service) {
+            if one.waiting > to_skip {
                 chosen = Some(peer);
                 break;
             }
-            passed -= one.waiting;
+            to_skip -= one.waiting;
         }
         let peer = chosen?;
-        let demand = &mut self.told.get_mut(&peer)?.demand;
+        let demand = &mut self.reports.get_mut(&peer)?.demand;
         let one = demand.iter_mut().find(|one| one.service == service)?;
         one.waiting -= 1;
         Some(peer)
     }
 
-    /// Items of this node that are to give way to calls of other nodes: its part, by the
-    /// items that each node can spare, of the calls that wait where no item can help. A
-    /// part of an item is rounded by `draw`, between 0 and 1.
-    pub fn share(&mut self, now_ms: u64, own: &ServiceDemand, draw: f64) -> usize {
+    /// Returns how many items of this node are to be preempted for calls of other nodes. Calls that
+    /// a node cannot serve by preempting its own items are divided among the nodes in proportion to
+    /// their spare items. `draw`, a random number between 0 and 1, decides whether a fraction of an
+    /// item is rounded up. Returns 0 during the pause after the last preemption.
+    pub fn preemption_share(&mut self, now_ms: u64, own: &ServiceDemand, draw: f64) -> usize {
         let spare = own.spare();
-        let helped = self.helped_ms.get(&own.service);
-        if spare == 0 || helped.is_some_and(|at| now_ms < at + SETTLING_MS) {
+        let preempted = self.preempted_ms.get(&own.service);
+        if spare == 0 || preempted.is_some_and(|at| now_ms < at + PREEMPTION_PAUSE_MS) {
             return 0;
         }
-        let others = self.of_service(now_ms, &own.service);
+        let others = self.fresh_reports(now_ms, &own.service);
         let (lacking, spare_of_others) = others.fold((0, 0), |(lacking, spare), (_, one)| {
             (lacking + one.lacking(), spare + one.spare())
         });
@@ -137,29 +144,29 @@
         let whole = share.floor();
         let rounded = whole + f64::from(u8::from(draw < share - whole));
         if rounded > 0.0 {
-            self.helped_ms.insert(own.service.clone(), now_ms);
+            self.preempted_ms.insert(own.service.clone(), now_ms);
         }
         rounded as usize
     }
 
-    fn of_service<'a>(
+    fn fresh_reports<'a>(
         &'a self,
         now_ms: u64,
         service: &'a str,
     ) -> impl Iterator<Item = (SocketAddr, &'a ServiceDemand)> {
         let fresh = self
-            .told
+            .reports
             .iter()
-            .filter(move |(_, told)| told.is_fresh(now_ms));
-        fresh.filter_map(move |(peer, told)| {
-            let mut demand = told.demand.iter();
+            .filter(move |(_, report)| report.is_fresh(now_ms));
+        fresh.filter_map(move |(peer, report)| {
+            let mut demand = report.demand.iter();
             Some((*peer, demand.find(|one| one.service == service)?))
         })
     }
 }
 
-impl Told {
+impl PeerReport {
     fn is_fresh(&self, now_ms: u64) -> bool {
-        now_ms <= self.at_ms + TOLD_LIFE_MS
+        now_ms <= self.at_ms + REPORT_TTL_MS
     }
 }
--- a/crates/pinerill-forward/src/dispatch/mod.rs
+++ b/crates/pinerill-forward/src/dispatch/mod.rs
@@ -1,16 +1,17 @@
-//! Places at workers for callers' calls.
+//! Assigns worker slots to calls of callers.
 //!
-//! A call gets a place at once if a worker has room. Otherwise it waits here
-//! and not at a worker, whose queue knows no order but that of arrival; it is
-//! sent away at once if it can't be served in time (`admission`). `line` keeps the
-//! order of those that wait, `demand` what the other nodes of the zone lack, `zone`
-//! does what follows from that. Whenever a place is given up, a peer tells of one,
-//! or a moment has passed, the first of the line are placed.
+//! A call gets a slot at once if a worker has a free one. Otherwise it waits in this node's queue
+//! rather than at a worker, whose own queue only knows the order of arrival; it is rejected at once
+//! if it cannot be served in time (`admission`). `queue` keeps the order of the waiting calls,
+//! `claims` decides which node may use a free slot that several see, `demand` records the waiting
+//! calls and preemptible items of the zone's other nodes, and `zone` serves those nodes. The queue
+//! is scanned whenever a slot is released, a peer reports a free one, or the scan interval has
+//! passed.
 
 pub mod admission;
 pub mod claims;
 pub mod demand;
-pub mod line;
+pub mod queue;
 mod times;
 mod zone;
 
@@ -26,46 +27,45 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::{sleep, timeout};
 
-use self::admission::{admit, Admission, Applicant, Pace};
-use self::claims::{nodes_before, Contender, SeenPlaces};
+use self::admission::{admit, Admission, AdmissionRequest, StartRate};
+use self::claims::{nodes_ahead, Contender, FreeSlotClaims};
 use self::demand::ZoneDemand;
-use self::line::{Ticket, WaitingCall, WaitingLine};
+use self::queue::{Ticket, WaitingCall, WaitingQueue};
 use self::times::CallTimes;
 use crate::call::Call;
 use crate::fleet::{Chosen, Placement, Prompt, Wanted, WorkerKey};
 use crate::node::{Node, Occupied};
 
-/// Pause between two looks at the line while nothing is told: beliefs about
-/// others fade with time.
-const LOOK_PAUSE: Duration = Duration::from_millis(15);
-/// Calls of the line that are looked at when the first finds no place: it may
-/// be the one that must not go where there is room.
-const LOOKED_AT: usize = 6;
-/// Pause between two calls of this node that try a worker of another zone of
-/// which nothing is known, milliseconds: many nodes do so at once.
-const EXPLORING_PAUSE_MS: u64 = 1_000;
-/// Shortest pause after places were handed out, so that what was told by
-/// others is taken in together.
-const GATHER_PAUSE: Duration = Duration::from_millis(1);
+/// Interval between two scans of the queue without a notification. Estimates of other nodes' load
+/// decay with time, so slots may count as free without any event.
+const SCAN_INTERVAL: Duration = Duration::from_millis(15);
+/// Number of calls at the head of the queue that are tried per scan. The first call may be one that
+/// must not go to the worker with the free slot.
+const MAX_SCANNED_CALLS: usize = 6;
+/// Minimum interval between two calls of this node that go to a worker of another zone whose load
+/// is unknown, in milliseconds. Many nodes may do this at the same time.
+const EXPLORATION_INTERVAL_MS: u64 = 1_000;
+/// Delay after each scan, so that updates from several peers are handled in one scan.
+const COALESCING_DELAY: Duration = Duration::from_millis(1);
 
-/// A place at a worker for a call.
+/// A worker chosen for a call, and the slot occupied there.
 pub struct Placed {
-    /// The worker and what decided.
+    /// The worker and the basis of the choice.
     pub chosen: Chosen,
-    /// The place, given up when dropped.
+    /// The occupied slot; released when dropped.
     pub place: Occupied,
 }
 
-/// A call without a place.
+/// Reason why a call got no slot.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Unplaced {
-    /// The service has no worker that may be asked.
+    /// The service has no worker that may be used for this call.
     NoWorker,
-    /// The time is up.
+    /// The call's deadline passed while it waited.
     OutOfTime,
-    /// It can't be served in time.
+    /// The call cannot be served in time.
     Rejected {
-        /// When to come back.
+        /// Delay after which the caller should retry.
         retry_after: Duration,
     },
 }
@@ -93,53 +93,55 @@
 
 #[derive(Default)]
 struct State {
-    line: WaitingLine,
+    queue: WaitingQueue,
     waiters: HashMap<Ticket, Waiter>,
-    pace: Pace,
+    start_rate: StartRate,
 }
 
-/// Calls that wait for places.
+/// Queue of the calls that wait for a slot at this node, and the state needed to serve it.
 #[derive(Default)]
 pub struct Dispatcher {
     state: Mutex<State>,
-    /// What the other nodes of the zone lack and can spare.
-    zone: Mutex<ZoneDemand>,
-    /// Places that are seen to be free.
-    seen: Mutex<SeenPlaces>,
-    /// When a call last went to another zone without knowing the load there, on
-    /// the node's clock.
+    /// Waiting calls and preemptible items reported by the zone's other nodes.
+    peer_demand: Mutex<ZoneDemand>,
+    /// Observations of free slots, from which this node's claims follow.
+    claims: Mutex<FreeSlotClaims>,
+    /// Time in milliseconds on the node's clock at which a call was last sent to another zone
+    /// without knowledge of the load there.
     explored_ms: AtomicU64,
-    /// How long calls take once they have places.
+    /// Run times of calls from the assignment of a slot on, by route.
     pub(crate) times: CallTimes,
-    /// There may be room now.
+    /// Notified when a slot may have become free.
     pub(crate) changed: Notify,
 }
 
-/// Takes a call off the line when its caller goes.
-struct InLine<'a> {
+/// Removes a call from the queue when its future is dropped, for example because the caller
+/// disconnected.
+struct QueueGuard<'a> {
     dispatcher: &'a Dispatcher,
     ticket: Ticket,
 }
 
-impl Drop for InLine<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         let mut state = self.dispatcher.state.lock();
-        state.line.leave(self.ticket);
+        state.queue.remove(self.ticket);
         state.waiters.remove(&self.ticket);
     }
 }
 
 impl Dispatcher {
-    /// Calls that wait.
+    /// Returns the number of calls that wait at this node.
     pub fn waiting(&self) -> usize {
-        self.state.lock().line.len()
+        self.state.lock().queue.len()
     }
 
-    /// A place for a call; it waits for one unless it can't be served in time.
-    /// Only a call that was not sent anywhere yet (`fresh`) is sent away.
+    /// Assigns a slot to a call, waiting for one if necessary. A call that has not been sent to any
+    /// worker yet (`fresh`) is rejected if it cannot be served in time; a call that is being
+    /// retried waits until its deadline.
     ///
     /// # Errors
-    /// [`Unplaced`].
+    /// Returns [`Unplaced`] if there is no usable worker, the time is up or the call is rejected.
     pub async fn place(
         &self,
         node: &Arc<Node>,
@@ -147,7 +149,7 @@
         except: &[WorkerId],
         fresh: bool,
     ) -> Result<Placed, Unplaced> {
-        node.slow_starts.call_came();
+        node.slow_starts.record_call();
         if self.waiting() == 0 {
             let wanted = Wanted {
                 service: &call.service,
@@ -156,8 +158,8 @@
                 runs_once: runs_once(call),
                 homes: &call.homes,
             };
-            match self.look(node, 1, &wanted) {
-                Placement::Room(chosen) => return Ok(occupied(node, chosen, &call.prompt)),
+            match self.find_slot(node, 1, &wanted) {
+                Placement::Room(chosen) => return Ok(occupy_slot(node, chosen, &call.prompt)),
                 Placement::NoWorker => return Err(Unplaced::NoWorker),
                 Placement::Full => {}
             }
@@ -166,28 +168,29 @@
         if fresh {
             self.admit(node, call, &waiting)?;
         }
-        let (ticket, granted) = self.join(call, except, waiting);
+        let (ticket, granted) = self.enqueue(call, except, waiting);
         node.peers.changed();
-        let _in_line = InLine {
+        let _queue_guard = QueueGuard {
             dispatcher: self,
             ticket,
         };
         self.changed.notify_one();
         let latest = match fresh {
-            true => self.times.latest_place(call),
+            true => self.times.latest_start(call),
             false => call.deadline,
         };
         let granted = timeout_at(latest, granted).await;
         match granted {
             Ok(Ok(result)) => result,
-            Ok(Err(_)) | Err(_) if fresh => Err(self.waited_in_vain(node, call)),
+            Ok(Err(_)) | Err(_) if fresh => Err(self.reject_timed_out(node, call)),
             Ok(Err(_)) | Err(_) => Err(Unplaced::OutOfTime),
         }
     }
 
-    /// A call that got no place in time comes back once the line is shorter.
-    fn waited_in_vain(&self, node: &Node, call: &Call) -> Unplaced {
-        let interval_ms = self.state.lock().pace.interval_ms(node.now_ms());
+    /// Rejects a call that got no slot in time, with a retry delay derived from the expected wait
+    /// in the current queue.
+    fn reject_timed_out(&self, node: &Node, call: &Call) -> Unplaced {
+        let interval_ms = self.state.lock().start_rate.interval_ms(node.now_ms());
         let expected_ms = interval_ms.unwrap_or(0.0) * (self.waiting() + 1) as f64;
         let expected = Duration::from_secs_f64(expected_ms / 1_000.0);
         let retry_after = admission::retry_after(expected, rand::random());
@@ -198,27 +201,28 @@
         Unplaced::Rejected { retry_after }
     }
 
-    /// Where a call may go. Once in a while one that finds no room in its zone
-    /// tries a worker elsewhere of which nothing is known.
-    fn look(&self, node: &Node, waiting: usize, wanted: &Wanted<'_>) -> Placement {
+    /// Finds a worker with a free slot that this node may claim. At most once per
+    /// `EXPLORATION_INTERVAL_MS`, a call that finds no slot in its zone may go to a worker of
+    /// another zone whose load is unknown.
+    fn find_slot(&self, node: &Node, waiting: usize, wanted: &Wanted<'_>) -> Placement {
         let service = wanted.service;
         let now_ms = node.now_ms();
         let explored_ms = self.explored_ms.load(Ordering::Relaxed);
-        let explores = now_ms.saturating_sub(explored_ms) >= EXPLORING_PAUSE_MS;
-        let others = self.zone.lock().contenders(now_ms, service);
+        let may_explore = now_ms.saturating_sub(explored_ms) >= EXPLORATION_INTERVAL_MS;
+        let others = self.peer_demand.lock().contenders(now_ms, service);
         let own = Contender {
             node: node.settings.peer_listen,
             waiting: waiting.max(1) as u32,
         };
-        let mut seen = self.seen.lock();
-        let may_take = |worker, free| {
-            let before = nodes_before(own, &others, worker);
-            seen.may_take(now_ms, worker, free, before)
+        let mut claims = self.claims.lock();
+        let may_claim = |worker, free| {
+            let ahead = nodes_ahead(own, &others, worker);
+            claims.may_claim(now_ms, worker, free, ahead)
         };
-        let found = node.with_fleet(|fleet, _| fleet.place(now_ms, wanted, explores, may_take));
+        let found = node.with_fleet(|fleet, _| fleet.place(now_ms, wanted, may_explore, may_claim));
         if let Placement::Room(chosen) = &found {
-            seen.taken(WorkerKey::of(&chosen.entry.id));
-            if explores && !chosen.basis.near {
+            claims.record_claim(WorkerKey::of(&chosen.entry.id));
+            if may_explore && !chosen.basis.near {
                 self.explored_ms.store(now_ms, Ordering::Relaxed);
             }
         }
@@ -226,13 +230,13 @@
     }
 
     fn waiting_call(&self, node: &Node, call: &Call) -> WaitingCall {
-        let held_ms = call.arrived.elapsed().as_millis() as u64;
-        let arrived_ms = node.now_ms().saturating_sub(held_ms);
+        let waited_here_ms = call.arrived.elapsed().as_millis() as u64;
+        let arrived_ms = node.now_ms().saturating_sub(waited_here_ms);
         let begin_ms = self.times.first_event_ms(&call.route.name);
-        let bearable_ms = (call.route.objective_ms as f64 - begin_ms).max(0.0);
+        let slack_ms = (call.route.objective_ms as f64 - begin_ms).max(0.0);
         WaitingCall {
             rank: call.rank,
-            in_time_until_ms: arrived_ms + bearable_ms as u64,
+            latest_start_ms: arrived_ms + slack_ms as u64,
         }
     }
 
@@ -240,17 +244,17 @@
         let now_ms = node.now_ms();
         let (ahead, interval_ms) = {
             let state = self.state.lock();
-            let ahead = state.line.ahead_of(now_ms, waiting);
-            (ahead, state.pace.interval_ms(now_ms))
+            let ahead = state.queue.ahead_of(now_ms, waiting);
+            (ahead, state.start_rate.interval_ms(now_ms))
         };
-        let applicant = Applicant {
+        let request = AdmissionRequest {
             ahead,
             interval_ms,
-            patience: self.times.latest_place(call).remaining(),
+            max_wait: self.times.latest_start(call).remaining(),
         };
-        match admit(&applicant, rand::random()) {
+        match admit(&request, rand::random()) {
             Admission::Wait => Ok(()),
-            Admission::SendAway {
+            Admission::Reject {
                 expected,
                 retry_after,
             } => {
@@ -265,7 +269,7 @@
         }
     }
 
-    fn join(
+    fn enqueue(
         &self,
         call: &Call,
         except: &[WorkerId],
@@ -281,29 +285,30 @@
             grant,
         };
         let mut state = self.state.lock();
-        let ticket = state.line.join(waiting);
+        let ticket = state.queue.push(waiting);
         state.waiters.insert(ticket, waiter);
         (ticket, granted)
     }
 
-    /// Takes the next call off the line that has a place now.
-    fn next_placed(&self, node: &Node) -> Option<(Waiter, Option<Chosen>)> {
+    /// Removes the first call that can be assigned now from the queue. The choice is `None` if its
+    /// service has no usable worker left. Returns `None` if none of the first calls finds a slot.
+    fn dequeue_placeable(&self, node: &Node) -> Option<(Waiter, Option<Chosen>)> {
         let now_ms = node.now_ms();
         let mut state = self.state.lock();
-        for ticket in state.line.first(now_ms, LOOKED_AT) {
+        for ticket in state.queue.head(now_ms, MAX_SCANNED_CALLS) {
             let Some(waiter) = state.waiters.get(&ticket) else {
-                state.line.leave(ticket);
+                state.queue.remove(ticket);
                 continue;
             };
-            let found = self.look(node, state.line.len(), &waiter.wanted());
+            let found = self.find_slot(node, state.queue.len(), &waiter.wanted());
             let chosen = match found {
                 Placement::Full => continue,
                 Placement::Room(chosen) => Some(chosen),
                 Placement::NoWorker => None,
             };
-            state.line.leave(ticket);
+            state.queue.remove(ticket);
             if chosen.is_some() {
-                state.pace.started(now_ms);
+                state.start_rate.record_start(now_ms);
             }
             let waiter = state.waiters.remove(&ticket)?;
             return Some((waiter, chosen));
@@ -311,8 +316,8 @@
         None
     }
 
-    /// Lets items give way to the calls that wait.
-    fn ask_items(&self, node: &Node) {
+    /// Preempts batch items for the calls that wait at this node.
+    fn preempt_for_own_calls(&self, node: &Node) {
         let now_ms = node.now_ms();
         for (service, calls) in self.waiting_by_service() {
             node.runs.give_way(now_ms, &service, calls);
@@ -329,43 +334,44 @@
     }
 
     fn place_waiting(&self, node: &Arc<Node>) {
-        while let Some((waiter, chosen)) = self.next_placed(node) {
+        while let Some((waiter, chosen)) = self.dequeue_placeable(node) {
             let result = match chosen {
-                Some(chosen) => Ok(occupied(node, chosen, &waiter.prompt)),
+                Some(chosen) => Ok(occupy_slot(node, chosen, &waiter.prompt)),
                 None => Err(Unplaced::NoWorker),
             };
-            // A caller that has just gone gives its place up again.
+            // If the caller has just disconnected, dropping the result releases the slot.
             let _ = waiter.grant.send(result);
         }
     }
 }
 
-/// Whether a call is lost if its worker fails.
+/// Returns whether a call may be run only once, so that it is lost if its worker fails.
 fn runs_once(call: &Call) -> bool {
     !call.route.kind.may_repeat()
 }
 
-fn occupied(node: &Arc<Node>, chosen: Chosen, prompt: &Prompt) -> Placed {
+fn occupy_slot(node: &Arc<Node>, chosen: Chosen, prompt: &Prompt) -> Placed {
     Placed {
         place: node.occupy(&chosen, prompt),
         chosen,
     }
 }
 
-/// Places waiting calls whenever there may be room.
+/// Serves the queue until the node stops: assigns slots to waiting calls and preempts items for
+/// calls of this node and of its peers.
 pub(crate) async fn run(node: Arc<Node>) {
     loop {
         let dispatcher = &node.dispatcher;
         if dispatcher.waiting() == 0 && !dispatcher.peers_have_waiting_calls(node.now_ms()) {
             dispatcher.changed.notified().await;
         } else {
-            // Either there is news or it is time to look again.
-            let _ = timeout(LOOK_PAUSE, dispatcher.changed.notified()).await;
+            // Wakes up on a notification or after the scan interval.
+            let _ = timeout(SCAN_INTERVAL, dispatcher.changed.notified()).await;
         }
         dispatcher.place_waiting(&node);
-        dispatcher.ask_items(&node);
-        dispatcher.help_others(&node);
-        dispatcher.seen.lock().forget_old(node.now_ms());
-        sleep(GATHER_PAUSE).await;
+        dispatcher.preempt_for_own_calls(&node);
+        dispatcher.preempt_for_peers(&node);
+        dispatcher.claims.lock().remove_stale(node.now_ms());
+        sleep(COALESCING_DELAY).await;
     }
 }
--- a/crates/pinerill-forward/src/dispatch/times.rs
+++ b/crates/pinerill-forward/src/dispatch/times.rs
@@ -1,4 +1,4 @@
-//! How long calls take at workers, by route, as this node saw it.
+//! Run times of calls at workers, by route, as observed by this node.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,39 +9,42 @@
 use crate::call::Call;
 use crate::run_time::RunTime;
 
-/// Routes that are remembered; beyond that all are forgotten.
-const REMEMBERED_ROUTES: usize = 1_024;
+/// Number of routes for which times are kept. When a further route appears, all times are
+/// discarded.
+const MAX_ROUTES: usize = 1_024;
 
 #[derive(Default)]
 struct RouteTimes {
     first_event: RunTime,
-    whole: RunTime,
+    completion: RunTime,
 }
 
-/// Times of calls from when they have a place, by name of their route.
+/// Estimates of the times from the assignment of a slot to the first and to the last event, by
+/// route name.
 #[derive(Default)]
 pub(crate) struct CallTimes {
     routes: Mutex<HashMap<String, RouteTimes>>,
 }
 
 impl CallTimes {
-    /// A call had its first event, and its last one, so long after it had a place.
-    pub(crate) fn record(&self, route: &str, first_event: Duration, whole: Duration) {
+    /// Records one answered call: the times from the assignment of its slot to its first and to its
+    /// last event.
+    pub(crate) fn record(&self, route: &str, first_event: Duration, completion: Duration) {
         let mut routes = self.routes.lock();
         if !routes.contains_key(route) {
-            if routes.len() >= REMEMBERED_ROUTES {
+            if routes.len() >= MAX_ROUTES {
                 routes.clear();
             }
             routes.insert(route.to_owned(), RouteTimes::default());
         }
         if let Some(times) = routes.get_mut(route) {
             times.first_event.record(first_event);
-            times.whole.record(whole);
+            times.completion.record(completion);
         }
     }
 
-    /// Time to the first event that is seldom exceeded, milliseconds; 0 while not
-    /// known.
+    /// Returns the time to the first event that calls of a route seldom exceed, in milliseconds; 0
+    /// while it is unknown.
     pub(super) fn first_event_ms(&self, route: &str) -> f64 {
         let routes = self.routes.lock();
         let times = routes.get(route);
@@ -50,22 +53,23 @@
             .unwrap_or(0.0)
     }
 
-    /// When a call must have a place to be answered in time for its caller: for the
-    /// first event before the caller gives up, and for the last one before the
-    /// deadline. Times that calls seldom stay below are counted, none while they are
-    /// not known.
-    pub(super) fn latest_place(&self, call: &Call) -> BootTime {
+    /// Returns the latest time at which a call may get its slot and still be answered in time: its
+    /// first event must come before the caller gives up, and its last one before the deadline. The
+    /// estimate uses times that calls of the route seldom fall below, or 0 while these are unknown.
+    pub(super) fn latest_start(&self, call: &Call) -> BootTime {
         let routes = self.routes.lock();
         let times = routes.get(&call.route.name);
-        let least = |time: fn(&RouteTimes) -> &RunTime| {
-            let least_ms = times.and_then(|times| time(times).shortest_ms());
-            Duration::from_secs_f64(least_ms.unwrap_or(0.0) / 1_000.0)
+        let lower_bound = |time: fn(&RouteTimes) -> &RunTime| {
+            let lower_bound_ms = times.and_then(|times| time(times).shortest_ms());
+            Duration::from_secs_f64(lower_bound_ms.unwrap_or(0.0) / 1_000.0)
         };
-        let for_first = call
+        let first_event_limit = call
             .first_event_by()
-            .checked_sub(least(|times| &times.first_event));
-        let for_last = call.deadline.checked_sub(least(|times| &times.whole));
-        let for_first = for_first.unwrap_or(call.arrived);
-        for_first.min(for_last.unwrap_or(call.arrived))
+            .checked_sub(lower_bound(|times| &times.first_event));
+        let completion_limit = call
+            .deadline
+            .checked_sub(lower_bound(|times| &times.completion));
+        let first_event_limit = first_event_limit.unwrap_or(call.arrived);
+        first_event_limit.min(completion_limit.unwrap_or(call.arrived))
     }
 }
--- a/crates/pinerill-forward/src/dispatch/zone.rs
+++ b/crates/pinerill-forward/src/dispatch/zone.rs
@@ -1,4 +1,5 @@
-//! What the dispatcher does for other nodes of the zone, and they for it.
+//! Cooperation between the dispatchers of a zone: preemption for peers' calls, and slots that are
+//! granted or promised when they become free.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,27 +9,31 @@
 use tokio::time::sleep;
 
 use super::demand::ServiceDemand;
-use super::{occupied, Dispatcher, Waiter, LOOKED_AT};
+use super::{occupy_slot, Dispatcher, Waiter, MAX_SCANNED_CALLS};
 use crate::fleet::{Chosen, WorkerKey};
 use crate::node::Node;
 use crate::peers::promise_time;
 
 impl Dispatcher {
-    /// Lets items give way to calls that wait at other nodes of the zone.
-    pub(super) fn help_others(&self, node: &Node) {
+    /// Preempts this node's share of items for calls that wait at other nodes of the zone.
+    pub(super) fn preempt_for_peers(&self, node: &Node) {
         let now_ms = node.now_ms();
         if !self.peers_have_waiting_calls(now_ms) {
             return;
         }
         for own in self.own_demand(node) {
-            let share = self.zone.lock().share(now_ms, &own, rand::random());
+            let share = self
+                .peer_demand
+                .lock()
+                .preemption_share(now_ms, &own, rand::random());
             if share > 0 {
                 node.runs.give_way(now_ms, &own.service, share);
             }
         }
     }
 
-    /// What waits here and which items could give way, by service.
+    /// Returns the waiting calls and preemptible items of this node by service, for the broadcast
+    /// to its peers.
     pub(crate) fn own_demand(&self, node: &Node) -> Vec<ServiceDemand> {
         let mut waiting = self.waiting_by_service();
         let mut demand: Vec<ServiceDemand> = Vec::new();
@@ -49,43 +54,44 @@
         demand
     }
 
-    /// Another node of the zone told what it lacks and can spare.
+    /// Records the demand that another node of the zone reported.
     pub(crate) fn record_peer_demand(
         &self,
         now_ms: u64,
         peer: SocketAddr,
         demand: Vec<ServiceDemand>,
     ) {
-        self.zone.lock().take(now_ms, peer, demand);
+        self.peer_demand.lock().update(now_ms, peer, demand);
     }
 
-    /// Whether calls wait at other nodes of the zone.
+    /// Returns whether calls wait at other nodes of the zone.
     pub(crate) fn peers_have_waiting_calls(&self, now_ms: u64) -> bool {
-        self.zone.lock().any_waiting(now_ms)
+        self.peer_demand.lock().any_waiting(now_ms)
     }
 
-    /// Gives a place that has become free to a call that waits here; true if one took it.
-    /// Its requests never fall in between: a zone of nodes with waiting calls that were told
-    /// of a free place would all send there. On a fleet of 50 nodes and 72 workers whose
-    /// calls need more places than there are for 2.4 s each 5.8 s, eleven calls reached one
-    /// worker within 1.5 ms, since the place was taken again only after 4.6 ms.
+    /// Grants a slot that has just become free to a call that waits at this node; returns whether a
+    /// call took it. The worker's request count does not drop in between: if the free slot were
+    /// broadcast, all nodes of the zone with waiting calls would send a call there. On a fleet of
+    /// 50 nodes and 72 workers, with calls that need more slots than exist for 2.4 s of every 5.8
+    /// s, eleven calls reached one worker within 1.5 ms, because the slot was only occupied again
+    /// after 4.6 ms.
     pub(crate) fn grant_freed_slot(&self, node: &Arc<Node>, worker: &str) -> bool {
         if self.waiting() == 0 {
             return false;
         }
         let now_ms = node.now_ms();
-        let has_room = node.with_fleet(|fleet, _| {
+        let has_free_slot = node.with_fleet(|fleet, _| {
             let worker = fleet.worker(worker)?;
             worker.has_room(now_ms, 0.0).then_some(())
         });
-        if has_room.is_none() {
+        if has_free_slot.is_none() {
             return false;
         }
         self.grant_promised_slot(node, WorkerKey::of(worker))
     }
 
-    /// Promises a place that has become free to another node at which calls wait, unless
-    /// some wait here; true if it did.
+    /// Promises a slot that has just become free to another node with waiting calls, unless calls
+    /// wait at this node. Returns whether the slot was promised.
     pub(crate) fn promise_freed_slot(&self, node: &Arc<Node>, worker: &str) -> bool {
         let now_ms = node.now_ms();
         if self.waiting() > 0 || !self.peers_have_waiting_calls(now_ms) {
@@ -95,41 +101,44 @@
         let until_ms = now_ms + time.as_millis() as u64;
         let promised = node.with_fleet(|fleet, _| {
             let service = fleet.service_of(worker)?.to_owned();
-            let peer = self.zone.lock().promise(now_ms, &service, rand::random())?;
+            let peer = self
+                .peer_demand
+                .lock()
+                .promise_slot(now_ms, &service, rand::random())?;
             Some((peer, fleet.promise(now_ms, worker, until_ms)?))
         });
         let Some((peer, key)) = promised else {
             return false;
         };
         node.peers.promise(peer, key);
-        tell_after(node, time);
+        broadcast_after(node, time);
         true
     }
 
-    /// A place is promised to this node: the first call that may go there takes it. False
-    /// if there is none.
+    /// Grants a slot that is reserved for this node to the first waiting call that may use it.
+    /// Returns false if there is no such call.
     pub(crate) fn grant_promised_slot(&self, node: &Arc<Node>, worker: WorkerKey) -> bool {
-        let Some((waiter, chosen)) = self.promised_to(node, worker) else {
+        let Some((waiter, chosen)) = self.dequeue_for_promise(node, worker) else {
             return false;
         };
-        let placed = occupied(node, chosen, &waiter.prompt);
-        // A caller that has just gone gives its place up again.
+        let placed = occupy_slot(node, chosen, &waiter.prompt);
+        // If the caller has just disconnected, dropping the result releases the slot.
         let _ = waiter.grant.send(Ok(placed));
         true
     }
 
-    fn promised_to(&self, node: &Node, key: WorkerKey) -> Option<(Waiter, Chosen)> {
+    fn dequeue_for_promise(&self, node: &Node, key: WorkerKey) -> Option<(Waiter, Chosen)> {
         let now_ms = node.now_ms();
         let mut state = self.state.lock();
-        for ticket in state.line.first(now_ms, LOOKED_AT) {
+        for ticket in state.queue.head(now_ms, MAX_SCANNED_CALLS) {
             let Some(waiter) = state.waiters.get(&ticket) else {
                 continue;
             };
             let wanted = waiter.wanted();
             let chosen = node.with_fleet(|fleet, _| fleet.promised(now_ms, key, &wanted));
             if let Some(chosen) = chosen {
-                state.line.leave(ticket);
-                state.pace.started(now_ms);
+                state.queue.remove(ticket);
+                state.start_rate.record_start(now_ms);
                 return Some((state.waiters.remove(&ticket)?, chosen));
             }
         }
@@ -137,9 +146,9 @@
     }
 }
 
-/// Tells the others once the time of a promise is up, since the place may be free then. A
-/// place that is given up after the runtime has ended is told to nobody.
-fn tell_after(node: &Arc<Node>, time: Duration) {
+/// Broadcasts this node's counts once a promise has expired, since the slot may be free then. Does
+/// nothing if the slot is released after the runtime has shut down.
+fn broadcast_after(node: &Arc<Node>, time: Duration) {
     let Ok(runtime) = Handle::try_current() else {
         return;
     };
--- a/crates/pinerill-forward/src/quota.rs
+++ b/crates/pinerill-forward/src/quota.rs
@@ -1,7 +1,7 @@
-//! Whether a tenant's call is within its limit: borrows tokens from the leader.
+//! Enforces tenants' request limits with tokens borrowed from the leader.
 //!
-//! `pinerill_quota` decides; here calls wait for the leader's answers, and one task asks for
-//! all tenants together.
+//! `pinerill_quota` makes the decisions. Here calls wait for the leader's answers, and one task
+//! borrows tokens for all tenants together.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -20,44 +20,45 @@
 
 use crate::node::Node;
 
-/// Longest time that one ask takes, other control machines tried included.
-const ASK_TIME: Duration = Duration::from_millis(400);
-/// Pause after an ask that brought no answer.
-const LOST_PAUSE: Duration = Duration::from_millis(40);
-/// Shortest pause between two asks for tokens ahead of calls: what several tenants need is
-/// asked for together.
-const AHEAD_PAUSE: Duration = Duration::from_millis(100);
-/// Pause between two looks at what is needed while calls wait for a limit that is reached
-/// to allow another one, and while none waits.
-const WAITING_LOOK_PAUSE: Duration = Duration::from_millis(10);
-const IDLE_LOOK_PAUSE: Duration = Duration::from_millis(250);
-/// Longest time that a call waits for the leader's answer. A fleet that has lost its leader
-/// has another one after half a second or more: calls that came shortly before are served,
-/// the others are told when to come back.
+/// Timeout of a borrow request, including attempts at other control machines.
+const BORROW_TIMEOUT: Duration = Duration::from_millis(400);
+/// Delay after a borrow request that got no answer.
+const FAILED_BORROW_DELAY: Duration = Duration::from_millis(40);
+/// Minimum interval between two borrow requests for tokens ahead of calls, so that one request
+/// covers several tenants.
+const PREFETCH_INTERVAL: Duration = Duration::from_millis(100);
+/// Intervals between two checks whether tokens must be borrowed: while calls wait at a reached
+/// limit for it to allow another one, and while no call waits.
+const WAITING_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Longest time for which a call waits for the leader's answer. A fleet that has lost its leader
+/// has a new one after 500 ms or more: calls that arrive shortly before that are served, the others
+/// are rejected with a retry delay.
 const LONGEST_WAIT: Duration = Duration::from_millis(LONGEST_WAIT_MS);
-/// When to come back while no leader lends.
-const LOST_RETRY: Duration = Duration::from_millis(500);
+/// Retry delay for callers while no leader lends tokens.
+const NO_LEADER_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// The node's tokens and the calls that wait for some.
+/// The tokens that this node has borrowed, and the calls that wait for one.
 #[derive(Default)]
 pub(crate) struct NodeQuota {
     borrower: Mutex<Borrower>,
-    /// The leader has answered, or could not be asked.
+    /// Notified when the leader has answered or could not be reached.
     answered: Notify,
-    /// Tokens run low.
+    /// Notified when tokens run low.
     wanted: Notify,
 }
 
-/// A call that is within its tenant's limit. Its token comes back if it never ran.
+/// Admission of a call within its tenant's limit. The token is returned on drop if no worker may
+/// have run the call.
 pub(crate) struct Permit {
     node: Arc<Node>,
     tenant: Arc<Tenant>,
-    passed_ms: u64,
+    admitted_ms: u64,
     ran: AtomicBool,
 }
 
 impl Permit {
-    /// A worker may have run the call.
+    /// Marks the token as used, because a worker may have run the call.
     pub(crate) fn mark_ran(&self) {
         self.ran.store(true, Ordering::Relaxed);
     }
@@ -73,20 +74,20 @@
     fn drop(&mut self) {
         if !self.ran.load(Ordering::Relaxed) {
             let mut borrower = self.node.quota.borrower.lock();
-            borrower.give_back(self.node.now_ms(), &self.tenant.name, self.passed_ms);
+            borrower.give_back(self.node.now_ms(), &self.tenant.name, self.admitted_ms);
         }
     }
 }
 
-/// A call that waits for a token; it leaves when dropped, unless it was settled.
-struct Waiting<'a> {
+/// A call that waits for a token. On drop it stops waiting, unless its admission has been decided.
+struct PendingCall<'a> {
     node: &'a Node,
     tenant: &'a str,
     is_settled: bool,
 }
 
-impl Waiting<'_> {
-    fn look_again(&mut self, now_ms: u64) -> Admission {
+impl PendingCall<'_> {
+    fn poll(&mut self, now_ms: u64) -> Admission {
         let mut borrower = self.node.quota.borrower.lock();
         let admission = borrower.look_again(now_ms, self.tenant);
         self.is_settled = admission != Admission::Waits;
@@ -94,7 +95,7 @@
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
         if !self.is_settled {
             let mut borrower = self.node.quota.borrower.lock();
@@ -103,11 +104,11 @@
     }
 }
 
-/// Lets a call of a tenant pass if it is within the tenant's limit; waits for the leader's
-/// answer if it must be asked, for a moment and until `until` at most.
+/// Admits a call of a tenant if it is within the tenant's limit. If the leader must be asked, waits
+/// for its answer until `until`, and for `LONGEST_WAIT` at most.
 ///
 /// # Errors
-/// A refusal: the limit is reached, or no leader answers.
+/// Returns a refusal if the limit is reached or no leader answers.
 pub(crate) async fn admit(
     node: &Arc<Node>,
     tenant: &Arc<Tenant>,
@@ -123,13 +124,13 @@
         node.quota.wanted.notify_one();
     }
     if admission == Admission::Waits {
-        admission = wait(node, tenant, until).await;
+        admission = wait_for_token(node, tenant, until).await;
     }
     match admission {
         Admission::Passes => Ok(Permit {
             node: node.clone(),
             tenant: tenant.clone(),
-            passed_ms: now_ms,
+            admitted_ms: now_ms,
             ran: AtomicBool::new(false),
         }),
         Admission::LimitReached { retry_after_ms } => {
@@ -139,17 +140,18 @@
     }
 }
 
-/// Waits until the leader's answer settles what becomes of a call.
-async fn wait(node: &Node, tenant: &Tenant, until: BootTime) -> Admission {
+/// Waits until the leader's answer decides on the admission of a call. Returns `Admission::Waits`
+/// if the time is up first.
+async fn wait_for_token(node: &Node, tenant: &Tenant, until: BootTime) -> Admission {
     let until = until.min(BootTime::now() + LONGEST_WAIT);
-    let mut waiting = Waiting {
+    let mut pending = PendingCall {
         node,
         tenant: &tenant.name,
         is_settled: false,
     };
     loop {
         let answered = node.quota.answered.notified();
-        let admission = waiting.look_again(node.now_ms());
+        let admission = pending.poll(node.now_ms());
         let is_over = admission != Admission::Waits;
         if is_over || timeout_at(until, answered).await.is_err() {
             return admission;
@@ -176,59 +178,63 @@
     );
     Refusal::NotRun {
         reason: "no leader says whether the tenant's limit is reached",
-        retry_after: Some(LOST_RETRY),
+        retry_after: Some(NO_LEADER_RETRY_AFTER),
     }
 }
 
-/// Borrows tokens until the node ends.
+/// Borrows tokens until the node stops.
 pub(crate) async fn borrow(node: Arc<Node>) {
-    let desk = &node.quota;
+    let quota = &node.quota;
     loop {
         let began = BootTime::now();
         wait_for_urgency(&node, Urgency::Soon).await;
         let asked_ms = node.now_ms();
-        let asks = desk.borrower.lock().next_asks(asked_ms);
+        let asks = quota.borrower.lock().next_asks(asked_ms);
         if asks.is_empty() {
             continue;
         }
         let is_urgent = asks.iter().any(|ask| ask.urgent > 0);
-        let is_answered = ask(&node, asks, asked_ms).await;
-        desk.answered.notify_waiters();
+        let is_answered = borrow_tokens(&node, asks, asked_ms).await;
+        quota.answered.notify_waiters();
         if !is_answered {
-            sleep(LOST_PAUSE).await;
+            sleep(FAILED_BORROW_DELAY).await;
         } else if !is_urgent {
-            // Calls that must wait meanwhile end the pause.
-            let rest = AHEAD_PAUSE.saturating_sub(began.elapsed());
+            // Ends early if calls need tokens immediately.
+            let rest = PREFETCH_INTERVAL.saturating_sub(began.elapsed());
             let _ = timeout(rest, wait_for_urgency(&node, Urgency::Now)).await;
         }
     }
 }
 
-async fn wait_for_urgency(node: &Node, least: Urgency) {
-    let desk = &node.quota;
+async fn wait_for_urgency(node: &Node, min: Urgency) {
+    let quota = &node.quota;
     loop {
         let (urgency, someone_waits) = {
-            let borrower = desk.borrower.lock();
+            let borrower = quota.borrower.lock();
             (borrower.urgency(node.now_ms()), borrower.someone_waits())
         };
-        if urgency >= least {
+        if urgency >= min {
             return;
         }
         let pause = match someone_waits {
-            true => WAITING_LOOK_PAUSE,
-            false => IDLE_LOOK_PAUSE,
+            true => WAITING_CHECK_INTERVAL,
+            false => IDLE_CHECK_INTERVAL,
         };
-        // Either tokens run low or it is time to look again.
-        let _ = timeout(pause, desk.wanted.notified()).await;
+        // Wakes up when tokens run low or after the check interval.
+        let _ = timeout(pause, quota.wanted.notified()).await;
     }
 }
 
-async fn ask(node: &Node, asks: Vec<TenantAsk>, asked_ms: u64) -> bool {
+async fn borrow_tokens(node: &Node, asks: Vec<TenantAsk>, asked_ms: u64) -> bool {
     let request = CallsRequest::Borrow(BorrowRequest {
         node: node.start.clone(),
         asks: asks.clone(),
     });
-    match node.cluster.call(&request, ASK_TIME, Duration::ZERO).await {
+    match node
+        .cluster
+        .call(&request, BORROW_TIMEOUT, Duration::ZERO)
+        .await
+    {
         Ok(answered) => {
             if let CallsResponse::Lent(loans) = answered.response {
                 let mut borrower = node.quota.borrower.lock();
--- a/crates/pinerill-forward/src/waking.rs
+++ b/crates/pinerill-forward/src/waking.rs
@@ -1,24 +1,25 @@
-//! What a node does after its machine was suspended.
+//! Holds calls after the node's machine was suspended.
 //!
-//! For other machines seconds have passed, for the node's own tasks none. What it believes of
-//! workers and routes is aged by the clock and fades; but a call that came in the first
-//! moment would still be sent by it. So calls are held until the leader, or the platform
-//! list, was asked again, for a moment at most.
+//! During a suspension seconds pass for other machines, but none for the node's own tasks.
+//! Knowledge of workers and routes ages by the boot-time clock and so expires, but a call that
+//! arrives in the first moments after the resume would still be sent by it. Calls are therefore
+//! held until the leader or the platform list has answered a new request, and for `MAX_HOLD` at
+//! most.
 
 use std::time::{Duration, Instant};
 
 use parking_lot::Mutex;
 use pinerill_process::clock::{BootTime, SuspensionWatch};
 
-/// Longest time for which calls are held after waking. An answer of a control machine takes
-/// some milliseconds; while none answers, the node goes on with what it has.
+/// Longest time for which calls are held after a resume. A control machine answers within some
+/// milliseconds; if none answers, the node continues with its known state.
 pub const MAX_HOLD: Duration = Duration::from_millis(1_000);
 
-/// When the machine woke, and whether the node has asked again since.
+/// Detects suspensions and tracks whether the node has refreshed its knowledge since the last one.
 #[derive(Debug)]
 pub struct ResumeGate {
     boot: BootTime,
-    /// The clock that stands still meanwhile: only its distance from the other one counts.
+    /// Clock that stops during a suspension. Only its difference from the boot-time clock matters.
     steady: Instant,
     state: Mutex<ResumeState>,
 }
@@ -34,34 +35,35 @@
 }
 
 impl ResumeGate {
-    /// Looks at the clocks; how long the machine was suspended since the last look.
+    /// Compares the clocks. Returns how long the machine was suspended since the last call, or
+    /// `None` if it was not.
     pub fn check_clocks(&self) -> Option<Duration> {
         let (boot, steady) = (self.boot.elapsed(), self.steady.elapsed());
         self.state.lock().check_clocks(boot, steady)
     }
 
-    /// Who was asked at that moment has answered.
+    /// Records an answer of the leader or the platform list to a request sent at `asked`.
     pub fn record_refresh(&self, asked: BootTime) {
         self.state.lock().record_refresh(asked - self.boot);
     }
 
-    /// How much longer calls are held; none if they need not be.
+    /// Returns how much longer calls are held, or `None` if they need not be.
     pub fn remaining_hold(&self) -> Option<Duration> {
         let now = self.boot.elapsed();
         self.state.lock().remaining_hold(now)
     }
 }
 
-/// The same, told all times. Pure.
+/// State of a [`ResumeGate`]. Pure: all times are passed in, as durations since the start.
 #[derive(Debug)]
 pub struct ResumeState {
     watch: SuspensionWatch,
-    /// When it woke, until it has asked again.
+    /// Time of the last resume, until the knowledge has been refreshed.
     resumed_at: Option<Duration>,
 }
 
 impl ResumeState {
-    /// A machine that was never suspended.
+    /// Creates the state of a machine that was never suspended.
     pub fn new() -> Self {
         ResumeState {
             watch: SuspensionWatch::begin(Duration::ZERO, Duration::ZERO),
@@ -69,15 +71,16 @@
         }
     }
 
-    /// Looks at clocks that show these times since the start.
+    /// Compares the times that the two clocks show. Returns how long the machine was suspended
+    /// since the last call, or `None` if it was not.
     pub fn check_clocks(&mut self, boot: Duration, steady: Duration) -> Option<Duration> {
         let suspended = self.watch.look(boot, steady)?;
         self.resumed_at = Some(boot);
         Some(suspended)
     }
 
-    /// Who was asked at that time has answered. What was asked before the suspension may
-    /// have been answered before it.
+    /// Records an answer to a request sent at `asked`. A request sent before the suspension does
+    /// not end the hold, because it may also have been answered before.
     pub fn record_refresh(&mut self, asked: Duration) {
         if self
             .resumed_at
@@ -87,7 +90,7 @@
         }
     }
 
-    /// How much longer calls are held; none if they need not be.
+    /// Returns how much longer calls are held, or `None` if they need not be.
     pub fn remaining_hold(&self, now: Duration) -> Option<Duration> {
         let until = self.resumed_at? + MAX_HOLD;
         until.checked_sub(now).filter(|left| !left.is_zero())
--- a/crates/pinerill-forward/tests/claims.rs
+++ b/crates/pinerill-forward/tests/claims.rs
@@ -1,13 +1,13 @@
-//! Which node of a zone takes a place that several see to be free.
+//! Tests which node of a zone claims a free slot that several nodes see.
 
 use std::net::SocketAddr;
 
-use pinerill_forward::dispatch::claims::{nodes_before, Contender, SeenPlaces};
+use pinerill_forward::dispatch::claims::{nodes_ahead, Contender, FreeSlotClaims};
 use pinerill_forward::fleet::WorkerKey;
 use proptest::prelude::*;
 
-/// Time after which a place falls to one more node.
-const NEXT_NODE_MS: u64 = 15;
+/// Time after which one more node may claim a slot that stays free.
+const NEXT_NODE_DELAY_MS: u64 = 15;
 
 fn address(number: usize) -> SocketAddr {
     ([127, 0, 1, number as u8], 7_720).into()
@@ -27,8 +27,8 @@
     WorkerKey::of(&format!("i-{number:08x}"))
 }
 
-/// How many others come before each contender at a worker.
-fn ranks(contenders: &[Contender], worker: WorkerKey) -> Vec<usize> {
+/// Returns for each contender how many others precede it in the claim order at a worker.
+fn positions(contenders: &[Contender], worker: WorkerKey) -> Vec<usize> {
     contenders
         .iter()
         .map(|own| {
@@ -37,111 +37,115 @@
                 .copied()
                 .filter(|other| other.node != own.node)
                 .collect();
-            nodes_before(*own, &others, worker)
+            nodes_ahead(*own, &others, worker)
         })
         .collect()
 }
 
 proptest! {
-    /// As many nodes take places as there are, whoever waits; all nodes agree.
+    /// If nodes computed different claim orders, several of them would send a call to the same
+    /// slot, or none would. For any distribution of waiting calls, exactly as many nodes claim at
+    /// once as slots are free (or all nodes, if there are fewer).
     #[test]
-    fn free_places_fall_to_as_many_nodes(
+    fn as_many_nodes_claim_as_slots_are_free(
         waiting in prop::collection::vec(1_u32..20, 1..30),
         free in 1_usize..4,
         number in 0_usize..1_000,
     ) {
         let contenders = contenders(&waiting);
-        let takers = ranks(&contenders, worker(number))
+        let claimants = positions(&contenders, worker(number))
             .into_iter()
-            .filter(|before| SeenPlaces::default().may_take(0, worker(number), free, *before))
+            .filter(|ahead| FreeSlotClaims::default().may_claim(0, worker(number), free, *ahead))
             .count();
-        prop_assert_eq!(takers, free.min(contenders.len()));
+        prop_assert_eq!(claimants, free.min(contenders.len()));
     }
 
-    /// A place that stays free falls to every node in the end.
+    /// A slot whose first claimant does not use it must not stay idle: every node may claim it in
+    /// the end, one more each `NEXT_NODE_DELAY_MS`.
     #[test]
-    fn a_place_that_stays_free_falls_to_the_next_node(
-        before in 0_usize..20,
+    fn slot_that_stays_free_becomes_claimable_by_the_next_node(
+        ahead in 0_usize..20,
         free in 1_usize..4,
     ) {
-        let mut seen = SeenPlaces::default();
+        let mut claims = FreeSlotClaims::default();
         let mut now_ms = 0;
-        while !seen.may_take(now_ms, worker(1), free, before) {
+        while !claims.may_claim(now_ms, worker(1), free, ahead) {
             now_ms += 5;
         }
-        let later = before.saturating_sub(free - 1) as u64;
-        prop_assert!(now_ms >= later * NEXT_NODE_MS && now_ms < (later + 1) * NEXT_NODE_MS);
+        let later = ahead.saturating_sub(free - 1) as u64;
+        prop_assert!(now_ms >= later * NEXT_NODE_DELAY_MS && now_ms < (later + 1) * NEXT_NODE_DELAY_MS);
     }
 }
 
 #[test]
-fn a_place_that_was_taken_or_not_seen_is_seen_anew() {
-    let mut seen = SeenPlaces::default();
-    assert!(!seen.may_take(0, worker(1), 1, 1));
-    assert!(seen.may_take(20, worker(1), 1, 1));
-    seen.taken(worker(1));
-    assert!(!seen.may_take(21, worker(1), 1, 1));
-    assert!(!seen.may_take(100, worker(1), 1, 1));
-    seen.forget_old(1_000);
-    assert!(!seen.may_take(1_001, worker(1), 1, 1));
+fn claim_delay_restarts_after_a_claim_or_an_expired_observation() {
+    let mut claims = FreeSlotClaims::default();
+    assert!(!claims.may_claim(0, worker(1), 1, 1));
+    assert!(claims.may_claim(20, worker(1), 1, 1));
+    claims.record_claim(worker(1));
+    assert!(!claims.may_claim(21, worker(1), 1, 1));
+    assert!(!claims.may_claim(100, worker(1), 1, 1));
+    claims.remove_stale(1_000);
+    assert!(!claims.may_claim(1_001, worker(1), 1, 1));
 }
 
 #[test]
-fn a_look_at_an_earlier_time_takes_nothing_more() {
-    let mut seen = SeenPlaces::default();
-    assert!(!seen.may_take(101, worker(1), 1, 1));
-    assert!(!seen.may_take(100, worker(1), 1, 1));
+fn earlier_timestamp_does_not_permit_a_claim() {
+    let mut claims = FreeSlotClaims::default();
+    assert!(!claims.may_claim(101, worker(1), 1, 1));
+    assert!(!claims.may_claim(100, worker(1), 1, 1));
 }
 
 #[test]
-fn a_node_alone_takes_what_it_sees() {
+fn only_node_with_waiting_calls_has_no_node_ahead() {
     let own = contenders(&[1])[0];
-    assert_eq!(nodes_before(own, &[], worker(1)), 0);
+    assert_eq!(nodes_ahead(own, &[], worker(1)), 0);
     let idle = Contender {
         node: address(9),
         waiting: 0,
     };
-    assert_eq!(nodes_before(own, &[idle], worker(1)), 0);
+    assert_eq!(nodes_ahead(own, &[idle], worker(1)), 0);
 }
 
 #[test]
-fn nodes_get_places_by_the_calls_that_wait_there() {
+fn nodes_claim_slots_in_proportion_to_their_waiting_calls() {
     let contenders = contenders(&[1, 3]);
     let workers = 4_000;
-    let won = (0..workers)
-        .filter(|number| ranks(&contenders, worker(*number))[1] == 0)
+    let first_claims = (0..workers)
+        .filter(|number| positions(&contenders, worker(*number))[1] == 0)
         .count();
-    let share = won as f64 / workers as f64;
+    let share = first_claims as f64 / workers as f64;
     assert!((0.70..0.80).contains(&share), "{share}");
 }
 
-/// A zone of 17 nodes at each of which a call waits; workers' places become free one after
-/// the other, each node sees one 0.3 ms after the node before it, and what it takes is told
-/// 6 ms later. Calls that reach a worker without a free place, of all that were sent.
-fn sent_in_vain(falls_to_one: bool) -> (usize, usize) {
+/// Simulates a zone of 17 nodes with waiting calls. Slots become free at one worker after the
+/// other; each node sees a free slot 0.3 ms after the node before it, and learns 6 ms later that it
+/// was claimed. Returns the number of calls sent, and of those that reached a worker without a free
+/// slot.
+fn simulate_claims(claims_limited: bool) -> (usize, usize) {
     const NODES: usize = 17;
     let contenders = contenders(&[2; NODES]);
-    let (mut sent, mut in_vain) = (0, 0);
+    let (mut sent, mut misdirected) = (0, 0);
     for number in 0..500 {
         let key = worker(number);
-        let ranks = ranks(&contenders, key);
-        let mut takers = 0;
-        for (position, before) in ranks.into_iter().enumerate() {
-            let sees_at_ms = position as f64 * 0.3;
-            let told_in_time = takers > 0 && sees_at_ms >= 6.0;
-            let mut seen = SeenPlaces::default();
-            let may_take = !falls_to_one || seen.may_take(0, key, 1, before);
-            takers += usize::from(may_take && !told_in_time);
+        let positions = positions(&contenders, key);
+        let mut claimants = 0;
+        for (position, ahead) in positions.into_iter().enumerate() {
+            let observed_ms = position as f64 * 0.3;
+            let claim_known = claimants > 0 && observed_ms >= 6.0;
+            let mut claims = FreeSlotClaims::default();
+            let may_claim = !claims_limited || claims.may_claim(0, key, 1, ahead);
+            claimants += usize::from(may_claim && !claim_known);
         }
-        sent += takers;
-        in_vain += takers.saturating_sub(1);
+        sent += claimants;
+        misdirected += claimants.saturating_sub(1);
     }
-    (sent, in_vain)
+    (sent, misdirected)
 }
 
 #[test]
-fn a_zone_of_waiting_nodes_sends_one_call_to_a_place() {
-    // Before: each node that sees the place sends a call there, 16 of 17 in vain.
-    assert_eq!(sent_in_vain(false), (8_500, 8_000));
-    assert_eq!(sent_in_vain(true), (500, 0));
+fn zone_of_waiting_nodes_sends_one_call_per_free_slot() {
+    // Without claims each node that sees the slot sends a call there, 16 of 17 to an occupied slot.
+    assert_eq!(simulate_claims(false), (8_500, 8_000));
+    assert_eq!(simulate_claims(true), (500, 0));
 }
--- a/crates/pinerill-forward/tests/leave_notice.rs
+++ b/crates/pinerill-forward/tests/leave_notice.rs
@@ -1,9 +1,9 @@
-//! Nothing new goes to a worker later than its notice allows, whatever news come or don't.
+//! Guards against sending requests to a worker after its leave notice has expired.
 //!
-//! Readings of the list, watches, a node's own readings and a worker's answers come in any
-//! order, late, or never; leaders change; the worker leaves at some moment. The design is played
-//! beside defects of it: knowledge that is counted from a moment later than its origin, or that
-//! older knowledge replaces.
+//! Readings of the list, watches, a node's own readings and a worker's answers arrive in any order,
+//! late or never; leaders change; the worker leaves at some moment. The rule that knowledge is
+//! dated from its origin is simulated next to defective variants, in which knowledge is dated later
+//! than its origin or replaced by older knowledge; the simulation must detect each of them.
 
 use pinerill_calls::directory::{
     Directory, DirectoryHistory, DirectoryUpdate, WorkerEntry, WorkerId, WorkerState,
@@ -13,27 +13,29 @@
 use rand::{Rng, SeedableRng};
 
 const NOTICE_MS: u64 = 3_000;
-const RUNS: u64 = 2_000;
+const SEEDS: u64 = 2_000;
 const STEPS: usize = 300;
 const LONGEST_STEP_MS: u64 = 120;
-/// That nothing is sent late would be no proof if the worker were hardly sent to at all.
-const LEAST_SENDING_STEPS: usize = 10_000;
+/// Minimum number of steps at which the worker may be sent to. Without it the test would also pass
+/// if the worker were hardly ever used.
+const MIN_SENDING_STEPS: usize = 10_000;
 
-/// From when on knowledge is counted.
+/// Time from which the age of knowledge is counted.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Counting {
-    /// From its origin: the beginning of the reading, the question to the worker.
+enum AgeBasis {
+    /// Its origin: the start of the reading, or the time at which the worker was asked.
     Origin,
-    /// The directory is fresh whenever the leader answers.
-    LeaderAnswers,
-    /// From the end of the reading.
-    ReadingEnds,
-    /// The age told is counted back from the receipt of the answer, not from the question.
-    AnswerComes,
-    /// From the worker's answer.
-    WorkerAnswers,
-    /// From its origin, but a node's own reading is taken in whatever it knows by then.
-    OlderReadingTaken,
+    /// The leader's answer: the directory counts as fresh whenever the leader answers.
+    LeaderAnswer,
+    /// The end of the reading.
+    ReadingEnd,
+    /// The receipt of the leader's answer: the age in the answer is subtracted from that time
+    /// instead of the time of the request.
+    AnswerReceipt,
+    /// The worker's answer.
+    WorkerAnswer,
+    /// The origin, but a node's own reading replaces its knowledge even if that is newer.
+    AcceptsOlderReading,
 }
 
 struct Watch {
@@ -49,11 +51,11 @@
 
 struct Reading {
     began_ms: u64,
-    shown: Vec<WorkerEntry>,
+    workers: Vec<WorkerEntry>,
 }
 
-struct World {
-    counting: Counting,
+struct Simulation {
+    age_basis: AgeBasis,
     random: StdRng,
     now_ms: u64,
     left_ms: Option<u64>,
@@ -61,10 +63,10 @@
     leader_reading: Option<Reading>,
     watch: Option<Watch>,
     answer: Option<Answer>,
-    held: Option<Directory>,
+    directory: Option<Directory>,
     own_reading: Option<Reading>,
-    /// When the worker was asked, and what it said, once it did.
-    question: Option<(u64, Option<bool>)>,
+    /// When the worker's health was requested, and whether it answered that it stays, once it did.
+    health_check: Option<(u64, Option<bool>)>,
     fleet: Fleet,
 }
 
@@ -72,14 +74,14 @@
     WorkerId::new("w", None)
 }
 
-impl World {
-    fn new(counting: Counting, seed: u64) -> Self {
+impl Simulation {
+    fn new(age_basis: AgeBasis, seed: u64) -> Self {
         let settings = ChoiceSettings {
             leave_notice_ms: NOTICE_MS,
             ..ChoiceSettings::default()
         };
-        World {
-            counting,
+        Simulation {
+            age_basis,
             random: StdRng::seed_from_u64(seed),
             now_ms: 0,
             left_ms: None,
@@ -87,15 +89,16 @@
             leader_reading: None,
             watch: None,
             answer: None,
-            held: None,
+            directory: None,
             own_reading: None,
-            question: None,
+            health_check: None,
             fleet: Fleet::new("z", settings),
         }
     }
 
-    /// The list shows a worker no more some time after it was shown as leaving.
-    fn shown(&self) -> Vec<WorkerEntry> {
+    /// Returns the workers that the list shows. A leaving worker is listed as draining for
+    /// `NOTICE_MS` and then not at all.
+    fn listed_workers(&self) -> Vec<WorkerEntry> {
         let gone_ms = self.left_ms.map(|left_ms| left_ms + NOTICE_MS);
         if gone_ms.is_some_and(|gone_ms| self.now_ms > gone_ms) {
             return Vec::new();
@@ -118,22 +121,22 @@
     fn begin_reading(&self) -> Option<Reading> {
         Some(Reading {
             began_ms: self.now_ms,
-            shown: self.shown(),
+            workers: self.listed_workers(),
         })
     }
 
-    fn end_leaders_reading(&mut self) {
+    fn end_leader_reading(&mut self) {
         let Some(reading) = self.leader_reading.take() else {
             return;
         };
-        let counted_ms = match self.counting {
-            Counting::ReadingEnds => self.now_ms,
+        let known_since_ms = match self.age_basis {
+            AgeBasis::ReadingEnd => self.now_ms,
             _ => reading.began_ms,
         };
-        self.leader.take(counted_ms, reading.shown);
+        self.leader.take(known_since_ms, reading.workers);
     }
 
-    fn leader_answers(&mut self) {
+    fn answer_watch(&mut self) {
         let Some(Watch {
             asked_ms,
             arrived_ms: Some(arrived_ms),
@@ -145,27 +148,27 @@
             asked_ms,
             update: self
                 .leader
-                .update_from(self.held.as_ref().map(Directory::digest)),
+                .update_from(self.directory.as_ref().map(Directory::digest)),
             age_ms: self.leader.age_ms(arrived_ms),
         });
     }
 
-    fn answer_comes(&mut self) {
+    fn receive_answer(&mut self) {
         let Some(answer) = self.answer.take() else {
             return;
         };
         if let Some(update) = answer.update {
-            self.held = Directory::updated(self.held.as_ref(), update).ok();
-            if let Some(directory) = &self.held {
+            self.directory = Directory::updated(self.directory.as_ref(), update).ok();
+            if let Some(directory) = &self.directory {
                 self.fleet.take_directory(self.now_ms, directory.workers());
             }
         }
-        let (Some(_), Some(age_ms)) = (&self.held, answer.age_ms) else {
+        let (Some(_), Some(age_ms)) = (&self.directory, answer.age_ms) else {
             return;
         };
-        let listed_ms = match self.counting {
-            Counting::LeaderAnswers => self.now_ms as i64,
-            Counting::AnswerComes => self.now_ms as i64 - age_ms as i64,
+        let listed_ms = match self.age_basis {
+            AgeBasis::LeaderAnswer => self.now_ms as i64,
+            AgeBasis::AnswerReceipt => self.now_ms as i64 - age_ms as i64,
             _ => answer.asked_ms as i64 - age_ms as i64,
         };
         self.fleet.confirm_directory(listed_ms);
@@ -176,23 +179,23 @@
             return;
         };
         let began_ms = reading.began_ms as i64;
-        self.held = None;
-        if self.counting == Counting::OlderReadingTaken {
-            self.fleet.take_directory(self.now_ms, &reading.shown);
+        self.directory = None;
+        if self.age_basis == AgeBasis::AcceptsOlderReading {
+            self.fleet.take_directory(self.now_ms, &reading.workers);
             self.fleet.confirm_directory(began_ms);
         } else {
             let (now_ms, fleet) = (self.now_ms, &mut self.fleet);
-            let _ = fleet.take_reading(now_ms, began_ms, &reading.shown);
+            let _ = fleet.take_reading(now_ms, began_ms, &reading.workers);
         }
     }
 
-    fn worker_answers(&mut self) {
-        if let Some((asked_ms, Some(true))) = self.question.take() {
-            let counted_ms = match self.counting {
-                Counting::WorkerAnswers => self.now_ms,
+    fn receive_health_answer(&mut self) {
+        if let Some((asked_ms, Some(true))) = self.health_check.take() {
+            let known_since_ms = match self.age_basis {
+                AgeBasis::WorkerAnswer => self.now_ms,
                 _ => asked_ms,
             };
-            self.fleet.confirm_worker(counted_ms, &worker_id());
+            self.fleet.confirm_worker(known_since_ms, &worker_id());
         }
     }
 
@@ -200,7 +203,7 @@
         self.now_ms += self.random.gen_range(0..LONGEST_STEP_MS);
         match self.random.gen_range(0..100) {
             0..=23 => self.leader_reading = self.leader_reading.take().or(self.begin_reading()),
-            24..=30 => self.end_leaders_reading(),
+            24..=30 => self.end_leader_reading(),
             31 => {
                 self.leader = DirectoryHistory::default();
                 self.leader_reading = None;
@@ -216,48 +219,48 @@
                     watch.arrived_ms.get_or_insert(self.now_ms);
                 }
             }
-            61..=72 => self.leader_answers(),
-            73..=84 => self.answer_comes(),
+            61..=72 => self.answer_watch(),
+            73..=84 => self.receive_answer(),
             85 => self.own_reading = self.own_reading.take().or(self.begin_reading()),
             86 => self.end_own_reading(),
-            87..=90 => self.question = Some((self.now_ms, None)),
+            87..=90 => self.health_check = Some((self.now_ms, None)),
             91..=94 => {
-                let stays = self.left_ms.is_none();
-                if let Some((_, said)) = &mut self.question {
-                    said.get_or_insert(stays);
+                let is_staying = self.left_ms.is_none();
+                if let Some((_, answer)) = &mut self.health_check {
+                    answer.get_or_insert(is_staying);
                 }
             }
-            95..=97 => self.worker_answers(),
+            95..=97 => self.receive_health_answer(),
             _ => {
                 self.left_ms.get_or_insert(self.now_ms);
             }
         }
     }
 
-    fn sends(&self) -> bool {
+    fn may_send(&self) -> bool {
         self.fleet.standing(self.now_ms, &worker_id()) == Standing::Confirmed
     }
 }
 
-/// What came out of many runs.
+/// Totals over all seeds.
 #[derive(Debug, Default)]
 struct Outcome {
-    /// Steps at which something would be sent to the worker.
+    /// Number of steps at which something may be sent to the worker.
     sending: usize,
-    /// Those later than its notice allows.
+    /// Number of these steps that are after the end of the leave notice.
     late: usize,
 }
 
-fn play(counting: Counting) -> Outcome {
+fn simulate(age_basis: AgeBasis) -> Outcome {
     let mut outcome = Outcome::default();
-    for seed in 0..RUNS {
-        let mut world = World::new(counting, seed);
+    for seed in 0..SEEDS {
+        let mut simulation = Simulation::new(age_basis, seed);
         for _ in 0..STEPS {
-            world.step();
-            if world.sends() {
+            simulation.step();
+            if simulation.may_send() {
                 outcome.sending += 1;
-                let until = world.left_ms.map(|left_ms| left_ms + NOTICE_MS);
-                outcome.late += usize::from(until.is_some_and(|until| world.now_ms >= until));
+                let until = simulation.left_ms.map(|left_ms| left_ms + NOTICE_MS);
+                outcome.late += usize::from(until.is_some_and(|until| simulation.now_ms >= until));
             }
         }
     }
@@ -265,62 +268,66 @@
 }
 
 #[test]
-fn nothing_is_sent_to_a_worker_later_than_its_notice_allows() {
-    let outcome = play(Counting::Origin);
+fn nothing_is_sent_to_a_worker_after_its_leave_notice_expires() {
+    let outcome = simulate(AgeBasis::Origin);
     assert_eq!(outcome.late, 0);
-    assert!(outcome.sending >= LEAST_SENDING_STEPS, "{outcome:?}");
+    assert!(outcome.sending >= MIN_SENDING_STEPS, "{outcome:?}");
 }
 
 #[test]
-fn knowledge_counted_from_later_than_its_origin_breaks_the_notice() {
-    for counting in [
-        Counting::LeaderAnswers,
-        Counting::ReadingEnds,
-        Counting::AnswerComes,
-        Counting::WorkerAnswers,
-        Counting::OlderReadingTaken,
+fn simulation_detects_knowledge_dated_later_than_its_origin() {
+    for age_basis in [
+        AgeBasis::LeaderAnswer,
+        AgeBasis::ReadingEnd,
+        AgeBasis::AnswerReceipt,
+        AgeBasis::WorkerAnswer,
+        AgeBasis::AcceptsOlderReading,
     ] {
-        let outcome = play(counting);
-        assert!(outcome.late > 0, "{counting:?} is not caught: {outcome:?}");
+        let outcome = simulate(age_basis);
+        assert!(
+            outcome.late > 0,
+            "{age_basis:?} is not detected: {outcome:?}"
+        );
     }
 }
 
-/// Where all goes well, a worker that stays is never in doubt: the list is read once a second,
-/// which takes up to 300 ms, and nodes ask twice a second.
+/// Guards against workers that become unconfirmed, and so unused, without a fault: the list is read
+/// once a second, which takes up to 300 ms, and nodes ask twice a second.
 #[test]
-fn a_worker_is_not_in_doubt_while_the_list_is_read_as_usual() {
-    let mut world = World::new(Counting::Origin, 0);
-    let mut in_doubt = 0;
+fn worker_stays_confirmed_while_the_list_is_read_regularly() {
+    let mut simulation = Simulation::new(AgeBasis::Origin, 0);
+    let mut unconfirmed = 0;
     for tick in 0..3_000_u64 {
-        world.now_ms = tick * 10;
-        match world.now_ms % 1_000 {
-            0 => world.leader_reading = world.begin_reading(),
-            300 => world.end_leaders_reading(),
+        simulation.now_ms = tick * 10;
+        match simulation.now_ms % 1_000 {
+            0 => simulation.leader_reading = simulation.begin_reading(),
+            300 => simulation.end_leader_reading(),
             _ => {}
         }
-        if world.now_ms % 500 == 250 {
-            world.answer_comes();
-            world.watch = Some(Watch {
-                asked_ms: world.now_ms,
-                arrived_ms: Some(world.now_ms + 100),
+        if simulation.now_ms % 500 == 250 {
+            simulation.receive_answer();
+            simulation.watch = Some(Watch {
+                asked_ms: simulation.now_ms,
+                arrived_ms: Some(simulation.now_ms + 100),
             });
-            world.leader_answers();
+            simulation.answer_watch();
         }
-        in_doubt += usize::from(world.now_ms > 2_000 && !world.sends());
+        unconfirmed += usize::from(simulation.now_ms > 2_000 && !simulation.may_send());
     }
-    assert_eq!(in_doubt, 0);
+    assert_eq!(unconfirmed, 0);
 }
 
-/// A suspended machine's clock of beliefs goes on, so that what it knew has run out as it wakes.
+/// The clock that dates knowledge continues during a suspension, so what the node knew before has
+/// expired when the machine resumes.
 #[test]
-fn what_was_known_before_a_suspension_has_run_out_after_it() {
-    let mut world = World::new(Counting::Origin, 0);
-    world.own_reading = world.begin_reading();
-    world.end_own_reading();
-    assert!(world.sends());
-    world.now_ms += NOTICE_MS;
+fn knowledge_from_before_a_suspension_has_expired_after_it() {
+    let mut simulation = Simulation::new(AgeBasis::Origin, 0);
+    simulation.own_reading = simulation.begin_reading();
+    simulation.end_own_reading();
+    assert!(simulation.may_send());
+    simulation.now_ms += NOTICE_MS;
     assert_eq!(
-        world.fleet.standing(world.now_ms, &worker_id()),
+        simulation.fleet.standing(simulation.now_ms, &worker_id()),
         Standing::Unconfirmed
     );
 }
--- a/crates/pinerill-forward/tests/run_time.rs
+++ b/crates/pinerill-forward/tests/run_time.rs
@@ -1,11 +1,11 @@
-//! How long something usually takes.
+//! Tests the estimate of run times and its bounds.
 
 use std::time::Duration;
 
 use pinerill_forward::run_time::RunTime;
 
 #[test]
-fn the_usual_run_time_follows_the_runs() {
+fn typical_time_follows_recent_samples() {
     let mut time = RunTime::default();
     assert_eq!(time.typical_ms(), 0);
     time.record(Duration::from_secs(4));
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn what_varies_more_has_wider_bounds() {
+fn bounds_widen_with_the_variation_of_samples() {
     let mut steady = RunTime::default();
     let mut varied = RunTime::default();
     assert_eq!((steady.shortest_ms(), steady.longest_ms()), (None, None));
--- a/crates/pinerill-forward/tests/slow_start.rs
+++ b/crates/pinerill-forward/tests/slow_start.rs
@@ -1,8 +1,10 @@
-//! A cold worker gets no more requests in any second than its service's rate and tolerance
-//! allow, summed over all nodes, while some of them hear nobody and leaders change.
+//! Guards against overloading a cold worker: in any second it gets no more requests than its
+//! service's rate and tolerance allow, summed over all nodes, while some nodes are cut off and
+//! leaders change.
 //!
-//! Two ways are played on the same calls. *Permits*: the leader lends one for each request.
-//! *Shares*: each node reckons its part by the number of nodes that it knows, without asking.
+//! Two strategies are simulated with the same calls. *Permits*: the leader lends one permit for
+//! each request. *Shares*: each node computes its share of the rate from the number of nodes that
+//! it knows, without asking the leader.
 
 mod support;
 
@@ -32,7 +34,7 @@
 const COLD: &str = "cold";
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Way {
+enum Strategy {
     Permits,
     Shares,
 }
@@ -61,7 +63,7 @@
     }
 }
 
-/// A fleet whose only worker is cold, so that all calls want it.
+/// Returns a fleet whose only worker is cold, so that all calls go to it.
 fn fleet() -> Fleet {
     let mut fleet = Fleet::new("z", ChoiceSettings::default());
     fleet.take_slow_starts(&table_with(SLOW_START));
@@ -72,23 +74,24 @@
 struct Node {
     fleet: Fleet,
     share: TokenBucket,
-    /// Nodes that it believes there are.
-    believed: usize,
-    /// When each ask in flight was sent, when its answer comes, and whether it lends.
+    /// Number of nodes that this node knows.
+    known_nodes: usize,
+    /// Borrow requests in flight: when each was sent, when its answer arrives, and whether a permit
+    /// is lent.
     answers: VecDeque<(u64, u64, bool)>,
     is_cut_off: bool,
 }
 
-/// Requests that reached the worker, by time.
-fn play(way: Way, seed: u64) -> Vec<u64> {
+/// Returns the times of the requests that reached the worker.
+fn simulate(strategy: Strategy, seed: u64) -> Vec<u64> {
     let mut random = StdRng::seed_from_u64(seed);
     let mut lender = Lender::begin(TOLERANCE, 0);
     let mut nodes: Vec<Node> = (0..NODES)
         .map(|_| Node {
             fleet: fleet(),
             share: TokenBucket::holding(0, 0.0),
-            // After a change of leader some know few others yet.
-            believed: random.gen_range(NODES / 8..=NODES),
+            // After a change of leader some nodes know only few others.
+            known_nodes: random.gen_range(NODES / 8..=NODES),
             answers: VecDeque::new(),
             is_cut_off: random.gen_bool(0.1),
         })
@@ -101,13 +104,13 @@
         }
         for (number, node) in nodes.iter_mut().enumerate() {
             let has_call = random.gen_bool(0.2);
-            let goes = match way {
-                Way::Permits => {
+            let is_sent = match strategy {
+                Strategy::Permits => {
                     permits_step(node, number, &mut lender, now_ms, has_call, &mut random)
                 }
-                Way::Shares => has_call && share_step(node, now_ms),
+                Strategy::Shares => has_call && share_step(node, now_ms),
             };
-            if goes {
+            if is_sent {
                 sent.push(now_ms);
             }
         }
@@ -116,7 +119,7 @@
 }
 
 fn share_step(node: &mut Node, now_ms: u64) -> bool {
-    let rate = RATE_PER_S / node.believed as f64;
+    let rate = RATE_PER_S / node.known_nodes as f64;
     node.share.take(now_ms, rate, 1.0).is_ok()
 }
 
@@ -129,9 +132,9 @@
     random: &mut StdRng,
 ) -> bool {
     while let Some((asked_ms, _, lends)) = node.answers.pop_front_if(|one| one.1 <= now_ms) {
-        let lent = [WorkerId::new(COLD, None)];
+        let workers = [WorkerId::new(COLD, None)];
         node.fleet
-            .give_permits(asked_ms, &lent[..usize::from(lends)]);
+            .give_permits(asked_ms, &workers[..usize::from(lends)]);
     }
     if !has_call {
         return false;
@@ -159,8 +162,8 @@
         runs_once: false,
         homes: &ANYWHERE,
     };
-    let placed = node.fleet.place(now_ms, &wanted, true, |_, _| true);
-    if !matches!(placed, Placement::Room(_)) {
+    let placement = node.fleet.place(now_ms, &wanted, true, |_, _| true);
+    if !matches!(placement, Placement::Room(_)) {
         return false;
     }
     let permit = node.fleet.begin(now_ms, COLD, 0.0);
@@ -168,8 +171,8 @@
     node.fleet.is_permitted(now_ms, COLD, permit)
 }
 
-/// The most requests in any second.
-fn most_in_a_second(sent: &[u64]) -> usize {
+/// Returns the largest number of requests within any second.
+fn max_in_a_second(sent: &[u64]) -> usize {
     let windows = sent.iter().enumerate().map(|(first, began_ms)| {
         let within = sent[first..]
             .iter()
@@ -180,44 +183,51 @@
 }
 
 #[test]
-fn permits_keep_the_bound_whatever_nodes_know_and_the_rate_is_used() {
+fn permits_keep_the_rate_limit_and_use_most_of_it() {
     for seed in 0..60 {
-        let sent = play(Way::Permits, seed);
-        let most = most_in_a_second(&sent);
-        assert!(most as f64 <= allowed(), "seed {seed}: {most} in a second");
+        let sent = simulate(Strategy::Permits, seed);
+        let max = max_in_a_second(&sent);
+        assert!(max as f64 <= allowed(), "seed {seed}: {max} in a second");
         let whole_s = (STEPS * STEP_MS) as f64 / 1_000.0;
         let used = sent.len() as f64 / (RATE_PER_S * whole_s);
         assert!(used >= 0.7, "seed {seed}: {used:.2} of the rate is used");
     }
 }
 
-/// Why the bound doesn't rest on what nodes reckon of each other.
+/// Shows why the limit cannot be enforced from each node's own count of nodes: the counts differ
+/// after a change of leader, and the shares add up to more than the limit.
 #[test]
-fn shares_break_the_bound_where_nodes_know_different_numbers() {
+fn shares_exceed_the_limit_when_nodes_know_different_node_counts() {
     let broken = (0..60).filter(|seed| {
-        let most = most_in_a_second(&play(Way::Shares, *seed));
-        most as f64 > allowed()
+        let max = max_in_a_second(&simulate(Strategy::Shares, *seed));
+        max as f64 > allowed()
     });
     let broken = broken.count();
-    println!("shares break the bound in {broken} of 60 runs");
+    println!("shares exceed the limit in {broken} of 60 runs");
     assert!(broken >= 30, "{broken} of 60");
 }
 
 #[test]
-fn a_permit_serves_one_request_and_lapses() {
+fn permit_covers_one_request_and_expires() {
     let mut fleet = fleet();
     assert!(!fleet.is_permitted(0, COLD, None));
     fleet.give_permits(0, &[WorkerId::new(COLD, None)]);
     let permit = fleet.begin(100, COLD, 0.0);
     assert!(permit.is_some() && fleet.is_permitted(400, COLD, permit));
-    assert!(!fleet.is_permitted(500, COLD, permit), "it lapses");
-    assert!(fleet.begin(100, COLD, 0.0).is_none(), "one request");
+    assert!(
+        !fleet.is_permitted(500, COLD, permit),
+        "an expired permit is accepted"
+    );
+    assert!(
+        fleet.begin(100, COLD, 0.0).is_none(),
+        "a permit is issued twice"
+    );
 }
 
-/// A worker that was gone may have started again under the same identifier; the list shows
-/// that later.
+/// A worker that was gone may have restarted under the same identifier, which the list shows only
+/// later.
 #[test]
-fn a_worker_that_was_gone_counts_as_cold_until_it_has_served_for_a_while() {
+fn worker_that_was_gone_counts_as_cold_until_it_has_served_for_the_slow_start() {
     let mut fleet = Fleet::new("z", ChoiceSettings::default());
     fleet.take_slow_starts(&table_with(SLOW_START));
     fleet.take_directory(0, &[cold_entry("w", 0)]);
@@ -229,9 +239,10 @@
     assert!(fleet.is_permitted(60_000 + STEPS * STEP_MS, "w", None));
 }
 
-/// A worker of one service that serves in this zone is of no use to calls of another.
+/// Guards against a service whose only worker is cold and in another zone getting no permits
+/// because a worker of another service serves in this zone.
 #[test]
-fn permits_are_asked_for_a_service_that_has_no_worker_in_this_zone() {
+fn permits_are_borrowed_for_a_service_without_a_worker_in_this_zone() {
     let mut table = table_with(SLOW_START);
     let other = Service {
         name: "other".to_owned(),
@@ -251,7 +262,7 @@
     assert_eq!(asked, ["far"]);
 }
 
-/// Where a service doesn't say what a cold worker bears, none is spared.
+/// A service without a slow-start rate does not limit requests to its cold workers.
 #[test]
 fn workers_of_a_service_without_a_rate_need_no_permit() {
     let mut fleet = Fleet::new("z", ChoiceSettings::default());
--- a/crates/pinerill-forward/tests/waiting_line.rs
+++ b/crates/pinerill-forward/tests/waiting_line.rs
@@ -1,168 +1,168 @@
-//! The order in which waiting calls get places, and who is sent away.
+//! Tests the order in which waiting calls get slots, and which calls are rejected.
 
 use std::time::Duration;
 
-use pinerill_forward::dispatch::admission::{admit, Admission, Applicant, Pace};
-use pinerill_forward::dispatch::line::{WaitingCall, WaitingLine};
+use pinerill_forward::dispatch::admission::{admit, Admission, AdmissionRequest, StartRate};
+use pinerill_forward::dispatch::queue::{WaitingCall, WaitingQueue};
 use proptest::prelude::*;
 
-fn call(rank: u32, in_time_until_ms: u64) -> WaitingCall {
+fn call(rank: u32, latest_start_ms: u64) -> WaitingCall {
     WaitingCall {
         rank,
-        in_time_until_ms,
+        latest_start_ms,
     }
 }
 
 #[test]
-fn the_call_that_must_begin_soonest_goes_first() {
-    let mut line = WaitingLine::default();
-    let patient = line.join(call(0, 900));
-    let urgent = line.join(call(0, 300));
-    assert_eq!(line.first(100, 9), [urgent, patient]);
+fn call_with_the_earliest_latest_start_goes_first() {
+    let mut queue = WaitingQueue::default();
+    let later = queue.push(call(0, 900));
+    let urgent = queue.push(call(0, 300));
+    assert_eq!(queue.head(100, 9), [urgent, later]);
 }
 
 #[test]
 fn a_late_call_follows_those_in_time_and_the_newest_late_one_goes_first() {
-    let mut line = WaitingLine::default();
-    let late = line.join(call(0, 300));
-    let later = line.join(call(0, 310));
-    let in_time = line.join(call(0, 900));
-    assert_eq!(line.first(200, 9), [late, later, in_time]);
-    assert_eq!(line.first(400, 9), [in_time, later, late]);
+    let mut queue = WaitingQueue::default();
+    let late = queue.push(call(0, 300));
+    let later = queue.push(call(0, 310));
+    let in_time = queue.push(call(0, 900));
+    assert_eq!(queue.head(200, 9), [late, later, in_time]);
+    assert_eq!(queue.head(400, 9), [in_time, later, late]);
 }
 
 #[test]
-fn a_less_urgent_rank_waits_for_all_others() {
-    let mut line = WaitingLine::default();
-    let less_urgent = line.join(call(2, 900));
-    let late = line.join(call(0, 100));
-    assert_eq!(line.first(500, 9), [late, less_urgent]);
+fn less_urgent_rank_goes_after_late_calls_of_a_more_urgent_one() {
+    let mut queue = WaitingQueue::default();
+    let less_urgent = queue.push(call(2, 900));
+    let late = queue.push(call(0, 100));
+    assert_eq!(queue.head(500, 9), [late, less_urgent]);
 }
 
 #[test]
-fn calls_ahead_are_those_that_would_be_placed_before() {
-    let mut line = WaitingLine::default();
-    line.join(call(0, 100));
-    line.join(call(0, 600));
-    line.join(call(1, 600));
-    line.join(call(0, 900));
-    // One late, one of a later rank, one that may begin later.
-    assert_eq!(line.ahead_of(500, &call(0, 700)), 1);
-    assert_eq!(line.ahead_of(500, &call(1, 700)), 4);
+fn calls_ahead_are_those_served_before_a_new_call() {
+    let mut queue = WaitingQueue::default();
+    queue.push(call(0, 100));
+    queue.push(call(0, 600));
+    queue.push(call(1, 600));
+    queue.push(call(0, 900));
+    // Of the four, one is late, one has a lower rank and one may start later.
+    assert_eq!(queue.ahead_of(500, &call(0, 700)), 1);
+    assert_eq!(queue.ahead_of(500, &call(1, 700)), 4);
 }
 
 #[test]
-fn a_call_that_left_is_placed_no_more() {
-    let mut line = WaitingLine::default();
-    let gone = line.join(call(0, 300));
-    let stays = line.join(call(0, 400));
-    line.leave(gone);
-    line.leave(gone);
-    assert_eq!(line.first(0, 9), [stays]);
-    assert_eq!(line.len(), 1);
+fn removed_call_is_not_in_the_queue_order() {
+    let mut queue = WaitingQueue::default();
+    let removed = queue.push(call(0, 300));
+    let remaining = queue.push(call(0, 400));
+    queue.remove(removed);
+    queue.remove(removed);
+    assert_eq!(queue.head(0, 9), [remaining]);
+    assert_eq!(queue.len(), 1);
 }
 
 proptest! {
     #[test]
-    fn every_waiting_call_is_in_the_order_once(
+    fn every_waiting_call_appears_once_in_the_queue_order(
         calls in proptest::collection::vec((0_u32..3, 0_u64..1_000), 0..40),
         now_ms in 0_u64..1_000,
     ) {
-        let mut line = WaitingLine::default();
-        let mut joined: Vec<_> =
-            calls.iter().map(|(rank, until)| line.join(call(*rank, *until))).collect();
-        let mut order = line.first(now_ms, usize::MAX);
+        let mut queue = WaitingQueue::default();
+        let mut pushed: Vec<_> =
+            calls.iter().map(|(rank, until)| queue.push(call(*rank, *until))).collect();
+        let mut order = queue.head(now_ms, usize::MAX);
         order.sort_unstable();
-        joined.sort_unstable();
-        prop_assert_eq!(order, joined);
+        pushed.sort_unstable();
+        prop_assert_eq!(order, pushed);
     }
 }
 
-fn applicant() -> Applicant {
-    Applicant {
+fn request() -> AdmissionRequest {
+    AdmissionRequest {
         ahead: 9,
         interval_ms: Some(100.0),
-        patience: Duration::from_millis(900),
+        max_wait: Duration::from_millis(900),
     }
 }
 
 #[test]
-fn a_call_that_can_not_be_served_within_its_time_is_sent_away_at_once() {
-    let Admission::SendAway {
+fn call_that_cannot_be_served_in_time_is_rejected_at_once() {
+    let Admission::Reject {
         expected,
         retry_after,
-    } = admit(&applicant(), 0.5)
+    } = admit(&request(), 0.5)
     else {
-        panic!("it waits");
+        panic!("the call is queued");
     };
     assert_eq!(expected, Duration::from_millis(1_000));
     assert!(retry_after >= expected / 2 && retry_after <= expected);
 }
 
 #[test]
-fn those_sent_away_do_not_all_come_back_together() {
-    assert_ne!(admit(&applicant(), 0.0), admit(&applicant(), 1.0));
+fn retry_delays_of_rejected_calls_are_spread() {
+    assert_ne!(admit(&request(), 0.0), admit(&request(), 1.0));
 }
 
 #[test]
-fn nobody_is_told_to_come_back_at_once() {
-    let impatient = Applicant {
+fn retry_delay_has_a_lower_bound() {
+    let no_time_left = AdmissionRequest {
         ahead: 0,
         interval_ms: Some(1.0),
-        patience: Duration::ZERO,
+        max_wait: Duration::ZERO,
     };
-    let Admission::SendAway { retry_after, .. } = admit(&impatient, 0.0) else {
-        panic!("it waits");
+    let Admission::Reject { retry_after, .. } = admit(&no_time_left, 0.0) else {
+        panic!("the call is queued");
     };
     assert!(retry_after >= Duration::from_millis(100));
 }
 
 #[test]
-fn a_call_that_can_be_served_waits_also_if_it_will_be_late() {
-    let patient = Applicant {
-        patience: Duration::from_millis(1_000),
-        ..applicant()
+fn call_that_can_be_served_within_its_deadline_is_queued() {
+    let within_deadline = AdmissionRequest {
+        max_wait: Duration::from_millis(1_000),
+        ..request()
     };
-    assert_eq!(admit(&patient, 0.5), Admission::Wait);
-    let pace_unknown = Applicant {
+    assert_eq!(admit(&within_deadline, 0.5), Admission::Wait);
+    let rate_unknown = AdmissionRequest {
         interval_ms: None,
-        ..applicant()
+        ..request()
     };
-    assert_eq!(admit(&pace_unknown, 0.5), Admission::Wait);
+    assert_eq!(admit(&rate_unknown, 0.5), Admission::Wait);
 }
 
 proptest! {
-    /// A longer line never lets a call in that a shorter one keeps out, nor does
-    /// less patience.
+    /// A call that is queued must also be queued if fewer calls are ahead of it or if it may wait
+    /// longer.
     #[test]
     fn admission_is_monotone(
         ahead in 0_usize..50,
         interval_ms in 1.0_f64..500.0,
-        patience_ms in 0_u64..5_000,
+        max_wait_ms in 0_u64..5_000,
     ) {
-        let waits = |ahead, patience_ms| {
-            let applicant = Applicant {
+        let waits = |ahead, max_wait_ms| {
+            let request = AdmissionRequest {
                 ahead,
                 interval_ms: Some(interval_ms),
-                patience: Duration::from_millis(patience_ms),
+                max_wait: Duration::from_millis(max_wait_ms),
             };
-            admit(&applicant, 0.5) == Admission::Wait
+            admit(&request, 0.5) == Admission::Wait
         };
-        prop_assert!(!waits(ahead + 1, patience_ms) || waits(ahead, patience_ms));
-        prop_assert!(!waits(ahead, patience_ms) || waits(ahead, patience_ms + 1));
+        prop_assert!(!waits(ahead + 1, max_wait_ms) || waits(ahead, max_wait_ms));
+        prop_assert!(!waits(ahead, max_wait_ms) || waits(ahead, max_wait_ms + 1));
     }
 }
 
 #[test]
-fn the_pace_is_known_from_a_few_recent_starts() {
-    let mut pace = Pace::default();
+fn start_rate_is_estimated_from_recent_starts() {
+    let mut start_rate = StartRate::default();
     for at in [0, 100, 200] {
-        pace.started(at);
+        start_rate.record_start(at);
     }
-    assert_eq!(pace.interval_ms(300), None);
-    pace.started(300);
-    assert_eq!(pace.interval_ms(400), Some(100.0));
-    // Without further starts it slows down, and then says nothing any more.
-    assert_eq!(pace.interval_ms(800), Some(200.0));
-    assert_eq!(pace.interval_ms(3_000), None);
+    assert_eq!(start_rate.interval_ms(300), None);
+    start_rate.record_start(300);
+    assert_eq!(start_rate.interval_ms(400), Some(100.0));
+    // Without further starts the estimated rate falls, and then there is no estimate.
+    assert_eq!(start_rate.interval_ms(800), Some(200.0));
+    assert_eq!(start_rate.interval_ms(3_000), None);
 }
--- a/crates/pinerill-forward/tests/waking.rs
+++ b/crates/pinerill-forward/tests/waking.rs
@@ -1,4 +1,4 @@
-//! What a node does after its machine was suspended, on clocks that the test moves.
+//! Tests how long calls are held after the machine was suspended, with simulated clocks.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
     Duration::from_millis(milliseconds)
 }
 
-/// Suspended for five seconds, seen 200 ms after waking.
-fn woken() -> ResumeState {
+/// Returns the state after a suspension of five seconds that was detected 200 ms after the resume.
+fn resumed() -> ResumeState {
     let mut state = ResumeState::new();
     assert_eq!(state.check_clocks(ms(1_000), ms(1_000)), None);
     assert_eq!(state.check_clocks(ms(6_200), ms(1_200)), Some(ms(5_000)));
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_machine_that_was_never_suspended_holds_nothing() {
+fn calls_are_not_held_without_a_suspension() {
     let mut state = ResumeState::new();
     for at in (0..60_000).step_by(200) {
         assert_eq!(state.check_clocks(ms(at), ms(at)), None);
@@ -26,10 +26,10 @@
 }
 
 #[test]
-fn calls_are_held_until_who_was_asked_after_waking_has_answered() {
-    let mut state = woken();
+fn calls_are_held_until_a_request_sent_after_the_resume_is_answered() {
+    let mut state = resumed();
     assert_eq!(state.remaining_hold(ms(6_300)), Some(MAX_HOLD - ms(100)));
-    // An answer to what was asked before the suspension may be as old.
+    // A request sent before the suspension may also have been answered before it.
     state.record_refresh(ms(900));
     assert!(state.remaining_hold(ms(6_300)).is_some());
     state.record_refresh(ms(6_250));
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn while_nobody_answers_calls_are_held_for_a_moment_only() {
-    let state = woken();
+fn hold_ends_after_its_maximum_without_an_answer() {
+    let state = resumed();
     assert_eq!(state.remaining_hold(ms(6_200) + MAX_HOLD), None);
 }
 
 #[test]
-fn a_second_suspension_holds_again() {
-    let mut state = woken();
+fn second_suspension_starts_a_new_hold() {
+    let mut state = resumed();
     state.record_refresh(ms(6_250));
     assert_eq!(state.check_clocks(ms(9_300), ms(1_300)), Some(ms(3_000)));
     assert!(state.remaining_hold(ms(9_301)).is_some());
