--- a/crates/pinerill-forward/src/exchange/incarnations.rs
+++ b/crates/pinerill-forward/src/exchange/incarnations.rs
@@ -46,7 +46,8 @@
                 return false;
             };
             let newest = listed.get(worker.name());
-            let is_superseded = newest.is_some_and(|newest| newest.birth_ms() > worker.birth_ms());
+            let is_superseded =
+                newest.is_some_and(|newest| newest.started_at_ms() > worker.started_at_ms());
             if is_superseded {
                 token.cancel();
             }
