--- a/crates/pinerill-forward/src/dispatch/mod.rs
+++ b/crates/pinerill-forward/src/dispatch/mod.rs
@@ -176,7 +176,7 @@
         };
         self.changed.notify_one();
         let latest = match fresh {
-            true => self.times.latest_start(call),
+            true => self.times.latest_slot_time(call),
             false => call.deadline,
         };
         let granted = timeout_at(latest, granted).await;
@@ -250,7 +250,7 @@
         let request = AdmissionRequest {
             ahead,
             interval_ms,
-            max_wait: self.times.latest_start(call).remaining(),
+            max_wait: self.times.latest_slot_time(call).remaining(),
         };
         match admit(&request, rand::random()) {
             Admission::Wait => Ok(()),
--- a/crates/pinerill-forward/src/dispatch/times.rs
+++ b/crates/pinerill-forward/src/dispatch/times.rs
@@ -56,7 +56,7 @@
     /// Returns the latest time at which a call may get its slot and still be answered in time: its
     /// first event must come before the caller gives up, and its last one before the deadline. The
     /// estimate uses times that calls of the route seldom fall below, or 0 while these are unknown.
-    pub(super) fn latest_start(&self, call: &Call) -> BootTime {
+    pub(super) fn latest_slot_time(&self, call: &Call) -> BootTime {
         let routes = self.routes.lock();
         let times = routes.get(&call.route.name);
         let lower_bound = |time: fn(&RouteTimes) -> &RunTime| {
