--- a/crates/pinerill-forward/src/dispatch/mod.rs
+++ b/crates/pinerill-forward/src/dispatch/mod.rs
@@ -43,7 +43,8 @@
 /// must not go to the worker with the free slot.
 const MAX_SCANNED_CALLS: usize = 6;
 /// Minimum interval between two calls of this node that go to a worker of another zone whose load
-/// is unknown, in milliseconds. Many nodes may do this at the same time.
+/// is unknown, in milliseconds. Limits the load there, because many nodes may do this at the same
+/// time.
 const EXPLORATION_INTERVAL_MS: u64 = 1_000;
 /// Delay after each scan, so that updates from several peers are handled in one scan.
 const COALESCING_DELAY: Duration = Duration::from_millis(1);
