--- a/crates/pinerill-calls/src/formats/v7.rs
+++ b/crates/pinerill-calls/src/formats/v7.rs
@@ -11,7 +11,8 @@
 use crate::message::WatchResponse;
 use crate::packed::UnpackError;
 use crate::table::{
-    BatchLimits, Homes, RequestLimits, Route, RouteKind, RouteTable, Service, Target, Tenant,
+    AllowedRegions, BatchLimits, RequestLimits, Route, RouteKind, RouteTable, Service, Target,
+    Tenant,
 };
 
 /// A request of format 7.
@@ -145,10 +146,10 @@
             targets: route.targets,
             attempts: route.attempts,
             gap_ms: route.gap_ms,
-            caller_patience_ms: route.caller_patience_ms,
+            caller_idle_timeout_ms: route.caller_patience_ms,
             batch: route.batch,
             is_public: route.is_public,
-            homes: Homes::default(),
+            allowed_regions: AllowedRegions::default(),
         }
     }
 }
@@ -166,7 +167,7 @@
             targets: route.targets,
             attempts: route.attempts,
             gap_ms: route.gap_ms,
-            caller_patience_ms: route.caller_patience_ms,
+            caller_patience_ms: route.caller_idle_timeout_ms,
             batch: route.batch,
             is_public: route.is_public,
         }
@@ -205,7 +206,7 @@
             keys: tenant.keys,
             rank: tenant.rank,
             limit: tenant.limit,
-            homes: Homes::default(),
+            allowed_regions: AllowedRegions::default(),
         }
     }
 }
--- a/crates/pinerill-calls/src/job.rs
+++ b/crates/pinerill-calls/src/job.rs
@@ -40,7 +40,7 @@
     }
 
     /// Under which the tokens of its tenant on a route are counted.
-    pub fn waiting_scope(&self, route: &str) -> String {
+    pub fn waiting_tokens_key(&self, route: &str) -> String {
         match self.tenant() {
             Some(tenant) => format!("{tenant}{SCOPE_END}{route}"),
             None => route.to_owned(),
@@ -123,7 +123,7 @@
 
 /// What became of one run of an item.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ItemEnd {
+pub enum ItemOutcome {
     /// It is done; the data of all events joined by line feeds, compressed.
     Completed(Vec<u8>),
     /// A worker said that it can never be done.
@@ -142,7 +142,7 @@
     /// The item.
     pub item: ItemRef,
     /// What became of it.
-    pub end: ItemEnd,
+    pub end: ItemOutcome,
 }
 
 /// State of a listed item.
--- a/crates/pinerill-calls/src/protocol.rs
+++ b/crates/pinerill-calls/src/protocol.rs
@@ -13,7 +13,7 @@
 };
 pub use operator::{OperatorAnswer, OperatorProtocol, OperatorRequest};
 pub use worker::{
-    AttemptFacts, HealthAnswer, LoadSample, MalformedPage, NotRunReason, Verdict, WorkerAnswer,
+    AttemptContext, HealthAnswer, LoadSample, MalformedPage, NotRunReason, Verdict, WorkerAnswer,
     WorkerListProtocol, WorkerProtocol,
 };
 
@@ -33,7 +33,7 @@
 
 impl HttpAnswer {
     /// An answer without headers and body.
-    pub fn of_status(status: StatusCode) -> Self {
+    pub fn with_status(status: StatusCode) -> Self {
         HttpAnswer {
             status,
             headers: HeaderMap::new(),
--- a/crates/pinerill-calls/src/protocol/operator.rs
+++ b/crates/pinerill-calls/src/protocol/operator.rs
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OperatorAnswer {
     /// The table is kept durably, or one as new already was.
-    TableKept,
+    TableStored,
     /// The document in force.
     Document(Vec<u8>),
     /// No document was ever accepted.
@@ -58,7 +58,7 @@
     /// How far the emptying of a machine is.
     Retirement(RetirementState),
     /// The order about a zone is kept durably, or was before.
-    ZoneOrderKept,
+    ZoneOrderStored,
     /// Not carried out, or nobody knows; to be asked again.
     Unavailable(String),
 }
--- a/crates/pinerill-calls/src/protocol/worker.rs
+++ b/crates/pinerill-calls/src/protocol/worker.rs
@@ -12,7 +12,7 @@
 /// Writes requests to workers and reads their answers.
 pub trait WorkerProtocol: Send + Sync + 'static {
     /// Headers for a forwarded call.
-    fn call_headers(&self, caller: &HeaderMap, attempt: &AttemptFacts<'_>) -> HeaderMap;
+    fn call_headers(&self, caller: &HeaderMap, attempt: &AttemptContext<'_>) -> HeaderMap;
 
     /// Headers for an item of a job.
     fn item_headers(
@@ -20,7 +20,7 @@
         id: &str,
         host: &str,
         headers: &[Header],
-        attempt: &AttemptFacts<'_>,
+        attempt: &AttemptContext<'_>,
     ) -> HeaderMap;
 
     /// What an answer's head says.
@@ -35,7 +35,7 @@
 
 /// What a worker is told about one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AttemptFacts<'a> {
+pub struct AttemptContext<'a> {
     /// Time that is left for it; none for items of jobs.
     pub remaining: Option<Duration>,
     /// The start of the worker that is meant.
@@ -76,7 +76,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// It was taken; the body is its answer.
-    Taken,
+    Accepted,
     /// It did not run and never will.
     NotRun(NotRunReason),
     /// It can never be done.
--- a/crates/pinerill-calls/src/settings/control.rs
+++ b/crates/pinerill-calls/src/settings/control.rs
@@ -180,7 +180,7 @@
 impl WorkerListSettings {
     /// Longest time between two readings, milliseconds: half of the notice, so that nodes hear
     /// of a reading before what they know by the one before runs out.
-    pub fn longest_poll_ms(&self) -> u64 {
+    pub fn max_poll_ms(&self) -> u64 {
         self.leave_notice_ms / 2
     }
 }
@@ -195,13 +195,13 @@
 
 impl ControlSettings {
     /// Voters that the replicated group needs to bear the losses at all.
-    pub fn least_voters(&self) -> usize {
+    pub fn min_voters(&self) -> usize {
         2 * self.tolerated_losses + 1
     }
 
     /// Voters with which it bears them while as many others, lost before, are
     /// being replaced: that takes as long as a whole state needs to be sent.
-    pub fn most_voters(&self) -> usize {
+    pub fn max_voters(&self) -> usize {
         4 * self.tolerated_losses + 1
     }
 
--- a/crates/pinerill-calls/src/table.rs
+++ b/crates/pinerill-calls/src/table.rs
@@ -3,15 +3,15 @@
 //! The operator's document stays whole beside the table; the table is what
 //! nodes act on. Of two tables, the one with the higher version is in force.
 
+mod allowed_regions;
 mod check;
-mod homes;
 mod lookup;
 mod tenant;
 
 use serde::{Deserialize, Serialize};
 
+pub use allowed_regions::{AllowedRegions, ALL_REGIONS};
 pub use check::TableError;
-pub use homes::{Homes, ANYWHERE};
 pub use lookup::RouteIndex;
 pub use tenant::{Access, AccessDenied, PresentedKey, Tenant};
 
@@ -56,13 +56,15 @@
     pub gap_ms: Option<u64>,
     /// Time without an event, also before the first one, after which callers give a
     /// series of events up, milliseconds; none if they don't.
-    pub caller_patience_ms: Option<u64>,
+    #[serde(rename = "caller_patience_ms")]
+    pub caller_idle_timeout_ms: Option<u64>,
     /// Bounds of its jobs; only of [`RouteKind::Batch`].
     pub batch: Option<BatchLimits>,
     /// Whether it may be called without a key.
     pub is_public: bool,
     /// Regions in which its calls may be served and its jobs be stored.
-    pub homes: Homes,
+    #[serde(rename = "homes")]
+    pub allowed_regions: AllowedRegions,
 }
 
 /// What a route's calls are, and so what may be repeated.
--- a/crates/pinerill-calls/src/table/check.rs
+++ b/crates/pinerill-calls/src/table/check.rs
@@ -22,19 +22,19 @@
     },
     /// Two routes have the same host and prefix.
     #[error("route {route}: another route has the same host and path prefix")]
-    SamePlace {
+    DuplicateRoute {
         /// The later of the two.
         route: String,
     },
     /// No target of a route has any weight.
     #[error("route {route}: the weights sum to 0")]
-    NoWeight {
+    ZeroTotalWeight {
         /// The route.
         route: String,
     },
     /// A route allows no time.
     #[error("route {route}: the timeout is 0")]
-    NoTimeout {
+    ZeroTimeout {
         /// The route.
         route: String,
     },
@@ -46,7 +46,7 @@
     },
     /// Two services have the same name.
     #[error("service {service}: there are two of this name")]
-    SameService {
+    DuplicateService {
         /// The service.
         service: String,
     },
@@ -58,13 +58,13 @@
     },
     /// Two tenants have the same name.
     #[error("tenant {tenant}: there are two of this name")]
-    SameTenant {
+    DuplicateTenant {
         /// The tenant.
         tenant: String,
     },
     /// Two tenants have the same key.
     #[error("tenant {tenant}: another tenant has one of its keys")]
-    SharedKey {
+    DuplicateKey {
         /// The later of the two.
         tenant: String,
     },
@@ -92,7 +92,7 @@
         for service in &self.services {
             if !services.insert(service.name.as_str()) {
                 let service = service.name.clone();
-                return Err(TableError::SameService { service });
+                return Err(TableError::DuplicateService { service });
             }
             let rate = service.slow_start.map(|slow_start| slow_start.rate_per_s);
             if rate.is_some_and(|rate| !rate.is_finite() || rate <= 0.0) {
@@ -105,7 +105,7 @@
             check_route(route, &services)?;
             if !places.insert((route.host.as_str(), route.path_prefix.as_str())) {
                 let route = route.name.clone();
-                return Err(TableError::SamePlace { route });
+                return Err(TableError::DuplicateRoute { route });
             }
         }
         check_tenants(self.tenants.as_deref().unwrap_or_default())
@@ -121,7 +121,7 @@
         }
         let name = || tenant.name.clone();
         if !names.insert(tenant.name.as_str()) {
-            return Err(TableError::SameTenant { tenant: name() });
+            return Err(TableError::DuplicateTenant { tenant: name() });
         }
         let numbers = tenant
             .limit
@@ -133,7 +133,7 @@
         for key in &tenant.keys {
             let owner = owners.entry(*key).or_insert(&tenant.name);
             if *owner != tenant.name {
-                return Err(TableError::SharedKey { tenant: name() });
+                return Err(TableError::DuplicateKey { tenant: name() });
             }
         }
     }
@@ -153,10 +153,10 @@
         });
     }
     if route.targets.iter().all(|target| target.weight == 0) {
-        return Err(TableError::NoWeight { route: name() });
+        return Err(TableError::ZeroTotalWeight { route: name() });
     }
     if route.timeout_ms == 0 {
-        return Err(TableError::NoTimeout { route: name() });
+        return Err(TableError::ZeroTimeout { route: name() });
     }
     let prefix = &route.path_prefix;
     if !prefix.starts_with('/') || !prefix.ends_with('/') {
--- a/crates/pinerill-calls/src/table/tenant.rs
+++ b/crates/pinerill-calls/src/table/tenant.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use super::{Homes, Route, RouteIndex, RouteTable};
+use super::{AllowedRegions, Route, RouteIndex, RouteTable};
 
 /// A tenant.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -21,7 +21,8 @@
     /// How many of its calls may run, over all nodes; none for no limit.
     pub limit: Option<RequestLimit>,
     /// Regions in which its calls may be served and its jobs be stored.
-    pub homes: Homes,
+    #[serde(rename = "homes")]
+    pub allowed_regions: AllowedRegions,
 }
 
 /// The key that a request brings.
@@ -50,10 +51,10 @@
 
     /// Regions in which its requests on a route may be served and stored: those that both
     /// the route and the tenant allow.
-    pub fn homes(&self, route: &Route) -> Homes {
+    pub fn allowed_regions(&self, route: &Route) -> AllowedRegions {
         match &self.tenant {
-            Some(tenant) => route.homes.and(&tenant.homes),
-            None => route.homes.clone(),
+            Some(tenant) => route.allowed_regions.intersect(&tenant.allowed_regions),
+            None => route.allowed_regions.clone(),
         }
     }
 
@@ -77,10 +78,12 @@
 
 impl RouteTable {
     /// Regions in which requests of a tenant on a route may be served and stored.
-    pub fn homes_of(&self, route: &Route, tenant: Option<&str>) -> Homes {
+    pub fn allowed_regions(&self, route: &Route, tenant: Option<&str>) -> AllowedRegions {
         let mut tenants = self.tenants.iter().flatten();
         let own = tenant.and_then(|name| tenants.find(|one| one.name == name));
-        own.map_or(route.homes.clone(), |tenant| route.homes.and(&tenant.homes))
+        own.map_or(route.allowed_regions.clone(), |tenant| {
+            route.allowed_regions.intersect(&tenant.allowed_regions)
+        })
     }
 }
 
@@ -106,8 +109,8 @@
     }
 
     /// Regions in which items of a tenant's jobs may run and be stored.
-    pub fn homes_of(&self, route: &Route, tenant: Option<&str>) -> Homes {
-        self.table().homes_of(route, tenant)
+    pub fn allowed_regions(&self, route: &Route, tenant: Option<&str>) -> AllowedRegions {
+        self.table().allowed_regions(route, tenant)
     }
 
     fn access_where(&self, is_public: bool, key: PresentedKey) -> Result<Access, AccessDenied> {
--- a/crates/pinerill-calls/src/traffic.rs
+++ b/crates/pinerill-calls/src/traffic.rs
@@ -12,24 +12,24 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reach {
     /// It is.
-    Near,
+    SameZone,
     /// It is in another zone, or its zone is not known.
-    Far,
+    OtherZone,
 }
 
 impl Reach {
     /// Of a process in this zone to one in the other.
     pub fn between(zone: &str, other: &str) -> Self {
         match zone == other {
-            true => Reach::Near,
-            false => Reach::Far,
+            true => Reach::SameZone,
+            false => Reach::OtherZone,
         }
     }
 
     fn label(self) -> &'static str {
         match self {
-            Reach::Near => "near",
-            Reach::Far => "far",
+            Reach::SameZone => "near",
+            Reach::OtherZone => "far",
         }
     }
 }
--- a/crates/pinerill-calls/tests/evacuation.rs
+++ b/crates/pinerill-calls/tests/evacuation.rs
@@ -2,7 +2,7 @@
 
 use pinerill_calls::evacuation::Evacuations;
 use pinerill_calls::message::{decode, encode};
-use pinerill_calls::table::Homes;
+use pinerill_calls::table::AllowedRegions;
 
 #[test]
 fn repeated_orders_are_idempotent() {
@@ -30,27 +30,27 @@
     assert!(!evacuations.was_returned_since(Some(known), "a"));
 }
 
-fn homes(regions: &[&str]) -> Homes {
-    Homes::of(regions.iter().map(|region| (*region).to_owned()))
+fn homes(regions: &[&str]) -> AllowedRegions {
+    AllowedRegions::from_list(regions.iter().map(|region| (*region).to_owned()))
 }
 
 #[test]
 fn the_regions_of_route_and_tenant_are_intersected() {
-    let both = homes(&["north", "south"]).and(&homes(&["south", "west"]));
-    assert!(both.allow(Some("south")));
+    let both = homes(&["north", "south"]).intersect(&homes(&["south", "west"]));
+    assert!(both.allows(Some("south")));
     for other in [Some("north"), Some("west"), Some("east"), None] {
-        assert!(!both.allow(other), "{other:?}");
+        assert!(!both.allows(other), "{other:?}");
     }
-    let nowhere = homes(&["north"]).and(&homes(&["south"]));
-    assert!(!nowhere.allow(Some("north")) && !nowhere.allow(Some("south")));
+    let nowhere = homes(&["north"]).intersect(&homes(&["south"]));
+    assert!(!nowhere.allows(Some("north")) && !nowhere.allows(Some("south")));
 }
 
 #[test]
 fn an_empty_list_allows_every_region() {
-    assert!(!homes(&[]).are_restricted());
-    assert!(homes(&[]).allow(None));
+    assert!(!homes(&[]).is_restricted());
+    assert!(homes(&[]).allows(None));
     assert!(
-        !homes(&["north"]).allow(None),
+        !homes(&["north"]).allows(None),
         "an unknown region is not allowed"
     );
 }
--- a/crates/pinerill-calls/tests/messages.rs
+++ b/crates/pinerill-calls/tests/messages.rs
@@ -54,7 +54,7 @@
 fn the_example_settings_are_valid() {
     let settings = ForwardingSettings::read(EXAMPLE).expect("the example is sound");
     assert_eq!(
-        settings.control.map(|control| control.least_voters()),
+        settings.control.map(|control| control.min_voters()),
         Some(3)
     );
     assert!(settings.node.is_some());
--- a/crates/pinerill-calls/tests/route_table.rs
+++ b/crates/pinerill-calls/tests/route_table.rs
@@ -1,7 +1,8 @@
 //! Route tables: what is invalid, and which route a call gets.
 
 use pinerill_calls::table::{
-    Homes, RequestLimits, Route, RouteIndex, RouteKind, RouteTable, Service, TableError, Target,
+    AllowedRegions, RequestLimits, Route, RouteIndex, RouteKind, RouteTable, Service, TableError,
+    Target,
 };
 
 fn service(name: &str) -> Service {
@@ -30,10 +31,10 @@
         }],
         attempts: 1,
         gap_ms: None,
-        caller_patience_ms: None,
+        caller_idle_timeout_ms: None,
         batch: None,
         is_public: false,
-        homes: Homes::default(),
+        allowed_regions: AllowedRegions::default(),
     }
 }
 
@@ -69,13 +70,16 @@
     let doubled = vec![route("b", "h", "/a/"), route("a", "h", "/a/")];
     let cases = [
         (vec![unknown], unknown_service),
-        (vec![weightless], TableError::NoWeight { route: name() }),
-        (vec![timeless], TableError::NoTimeout { route: name() }),
+        (
+            vec![weightless],
+            TableError::ZeroTotalWeight { route: name() },
+        ),
+        (vec![timeless], TableError::ZeroTimeout { route: name() }),
         (
             vec![route("a", "h", "/a")],
             TableError::MalformedPrefix { route: name() },
         ),
-        (doubled, TableError::SamePlace { route: name() }),
+        (doubled, TableError::DuplicateRoute { route: name() }),
     ];
     for (invalid, expected) in cases {
         assert_eq!(table(invalid).check(), Err(expected));
@@ -86,7 +90,7 @@
 fn two_services_of_one_name_are_refused() {
     let mut doubled = table(vec![]);
     doubled.services.push(service("s"));
-    let expected = TableError::SameService {
+    let expected = TableError::DuplicateService {
         service: "s".to_owned(),
     };
     assert_eq!(doubled.check(), Err(expected));
--- a/crates/pinerill-calls/tests/tenants.rs
+++ b/crates/pinerill-calls/tests/tenants.rs
@@ -2,8 +2,8 @@
 
 use pinerill_calls::job::CallJobId;
 use pinerill_calls::table::{
-    AccessDenied, BatchLimits, Homes, PresentedKey, RequestLimits, Route, RouteIndex, RouteKind,
-    RouteTable, Service, TableError, Target, Tenant,
+    AccessDenied, AllowedRegions, BatchLimits, PresentedKey, RequestLimits, Route, RouteIndex,
+    RouteKind, RouteTable, Service, TableError, Target, Tenant,
 };
 use pinerill_quota::limit::RequestLimit;
 use pinerill_types::KeyHash;
@@ -24,14 +24,14 @@
         }],
         attempts: 1,
         gap_ms: None,
-        caller_patience_ms: None,
+        caller_idle_timeout_ms: None,
         batch: (kind == RouteKind::Batch).then_some(BatchLimits {
             result_target_ms: 1,
             give_up_ms: 1,
             max_waiting_tokens: 0,
         }),
         is_public,
-        homes: Homes::default(),
+        allowed_regions: AllowedRegions::default(),
     }
 }
 
@@ -41,7 +41,7 @@
         keys: keys.iter().map(|key| KeyHash::of(key.as_bytes())).collect(),
         rank: None,
         limit: None,
-        homes: Homes::default(),
+        allowed_regions: AllowedRegions::default(),
     }
 }
 
@@ -138,11 +138,11 @@
     let cases = [
         (
             vec![tenant("a", &["1"]), tenant("b", &["2", "1"])],
-            TableError::SharedKey { tenant: name("b") },
+            TableError::DuplicateKey { tenant: name("b") },
         ),
         (
             vec![tenant("a", &["1"]), tenant("a", &["2"])],
-            TableError::SameTenant { tenant: name("a") },
+            TableError::DuplicateTenant { tenant: name("a") },
         ),
         (
             vec![tenant("", &[])],
@@ -186,6 +186,6 @@
         let open = CallJobId::new(None, &names[1]);
         prop_assert_eq!(open.tenant(), None);
         prop_assert_ne!(&one, &open);
-        prop_assert_ne!(one.waiting_scope(&names[1]), open.waiting_scope(&names[1]));
+        prop_assert_ne!(one.waiting_tokens_key(&names[1]), open.waiting_tokens_key(&names[1]));
     }
 }
--- a/crates/pinerill-cluster/src/machine/jobs.rs
+++ b/crates/pinerill-cluster/src/machine/jobs.rs
@@ -8,7 +8,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use pinerill_calls::job::{CallJobId, ItemEnd, ItemReport, ListedState, NewCallJob};
+use pinerill_calls::job::{CallJobId, ItemOutcome, ItemReport, ListedState, NewCallJob};
 use pinerill_calls::message::SubmitOutcome;
 use pinerill_control::host::TableWriter;
 use serde::{Deserialize, Serialize};
@@ -80,7 +80,7 @@
     /// Returns the number of tokens of waiting items on a route that belong to the tenant of
     /// `job`.
     pub fn waiting_tokens(&self, job: &CallJobId, route: &str) -> u64 {
-        let scope = job.waiting_scope(route);
+        let scope = job.waiting_tokens_key(route);
         self.waiting_tokens.get(&scope).copied().unwrap_or_default()
     }
 
@@ -134,7 +134,7 @@
         let tokens: u64 = job.items.iter().map(|item| item.tokens).sum();
         let number = self.next_number;
         self.next_number += 1;
-        let scope = job.id.waiting_scope(&job.route);
+        let scope = job.id.waiting_tokens_key(&job.route);
         *self.waiting_tokens.entry(scope).or_default() += tokens;
         let due_ms = now_ms + job.result_target_ms;
         let mut items = Vec::with_capacity(job.items.len());
@@ -200,11 +200,11 @@
             return;
         };
         match report.end {
-            ItemEnd::Completed(text) => {
+            ItemOutcome::Completed(text) => {
                 self.append_result(position, ListedState::Completed, &text, table);
             }
-            ItemEnd::Impossible => self.append_result(position, ListedState::Dead, &[], table),
-            ItemEnd::Failed { run } => {
+            ItemOutcome::Impossible => self.append_result(position, ListedState::Dead, &[], table),
+            ItemOutcome::Failed { run } => {
                 if self.count_failure(position, run) {
                     self.append_result(position, ListedState::Dead, &[], table);
                 }
@@ -301,7 +301,7 @@
             job: number,
             index,
         });
-        let scope = record.id.waiting_scope(&record.route);
+        let scope = record.id.waiting_tokens_key(&record.route);
         if let Some(waiting) = self.waiting_tokens.get_mut(&scope) {
             *waiting = waiting.saturating_sub(item.tokens);
             if *waiting == 0 {
--- a/crates/pinerill-cluster/src/server/jobs.rs
+++ b/crates/pinerill-cluster/src/server/jobs.rs
@@ -400,7 +400,7 @@
     };
     let mut routes = table.routes.iter();
     let route = routes.find(|route| route.name == job.route);
-    route.is_none_or(|route| table.homes_of(route, job.id.tenant()).allow(region))
+    route.is_none_or(|route| table.allowed_regions(route, job.id.tenant()).allows(region))
 }
 
 fn results(from: u32, total: u32, entries: Vec<ListedItem>) -> CallsResponse {
--- a/crates/pinerill-cluster/src/server/members.rs
+++ b/crates/pinerill-cluster/src/server/members.rs
@@ -84,8 +84,8 @@
                 leading_ms,
                 caught_up: &caught_up,
                 settings: MembershipSettings {
-                    min_voters: self.settings.least_voters(),
-                    max_voters: self.settings.most_voters(),
+                    min_voters: self.settings.min_voters(),
+                    max_voters: self.settings.max_voters(),
                     lost_after_ms: LOST_AFTER_MS,
                     present_ms: PRESENT_MS,
                 },
--- a/crates/pinerill-cluster/src/server/operators.rs
+++ b/crates/pinerill-cluster/src/server/operators.rs
@@ -118,7 +118,7 @@
         match answer {
             Ok(CallsResponse::Done) => {
                 log::info!(event = "table_acknowledged", version; "");
-                OperatorAnswer::TableKept
+                OperatorAnswer::TableStored
             }
             other => unavailable(other),
         }
--- a/crates/pinerill-cluster/src/server/workers.rs
+++ b/crates/pinerill-cluster/src/server/workers.rs
@@ -68,7 +68,7 @@
         let list = &self.settings.worker_list;
         let bounds = ReadingBounds {
             shortest: Duration::from_millis(list.poll_ms),
-            longest: Duration::from_millis(list.longest_poll_ms()),
+            longest: Duration::from_millis(list.max_poll_ms()),
         };
         reading_interval(pages, list.calls_per_s, bounds)
     }
--- a/crates/pinerill-cluster/src/server/zones.rs
+++ b/crates/pinerill-cluster/src/server/zones.rs
@@ -22,7 +22,7 @@
             return OperatorAnswer::NotFound;
         }
         match self.at_leader(order(zone)).await {
-            Ok(CallsResponse::Done) => OperatorAnswer::ZoneOrderKept,
+            Ok(CallsResponse::Done) => OperatorAnswer::ZoneOrderStored,
             other => unavailable(other),
         }
     }
--- a/crates/pinerill-cluster/tests/machine.rs
+++ b/crates/pinerill-cluster/tests/machine.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use pinerill_calls::job::{
-    CallJobId, ItemEnd, ItemRef, ItemReport, ListedState, NewCallItem, NewCallJob,
+    CallJobId, ItemOutcome, ItemRef, ItemReport, ListedState, NewCallItem, NewCallJob,
 };
 use pinerill_calls::message::{decode, encode, MachineRecord, PutTable, SubmitOutcome};
 use pinerill_calls::table::{RequestLimits, RouteTable};
@@ -56,7 +56,7 @@
         self.apply(Command::SubmitJob { job, room_bytes })
     }
 
-    fn report(&mut self, id: &str, index: u32, end: ItemEnd) {
+    fn report(&mut self, id: &str, index: u32, end: ItemOutcome) {
         let item = ItemRef {
             job: job_id(id),
             index,
@@ -100,8 +100,8 @@
     }
 }
 
-fn completed(text: &[u8]) -> ItemEnd {
-    ItemEnd::Completed(text.to_vec())
+fn completed(text: &[u8]) -> ItemOutcome {
+    ItemOutcome::Completed(text.to_vec())
 }
 
 fn put_table(version: u64, document: &str) -> Command {
@@ -172,7 +172,7 @@
     let mut group = Group::default();
     group.submit("a", 3);
     group.report("a", 0, completed(&[7; 5_000]));
-    group.report("a", 1, ItemEnd::Impossible);
+    group.report("a", 1, ItemOutcome::Impossible);
     group.submit("b", 2);
     group.apply(Command::EndJob(job_id("b")));
     assert!(group.machine.jobs().store_usage().stored_bytes() > 5_000);
@@ -198,8 +198,8 @@
     group.submit("a", 2);
     group.report("a", 1, completed(b"first"));
     group.report("a", 1, completed(b"second"));
-    group.report("a", 1, ItemEnd::Impossible);
-    group.report("a", 0, ItemEnd::Impossible);
+    group.report("a", 1, ItemOutcome::Impossible);
+    group.report("a", 0, ItemOutcome::Impossible);
     let expected = [(1, ListedState::Completed), (0, ListedState::Dead)];
     assert_eq!(group.listed("a"), expected);
     assert_eq!(group.table.0.get(&text_key(0, 0)), Some(&b"first".to_vec()));
@@ -210,10 +210,10 @@
 fn an_item_is_given_up_after_as_many_failures_as_its_route_allows() {
     let mut group = Group::default();
     group.submit("a", 1);
-    group.report("a", 0, ItemEnd::Failed { run: 1 });
-    group.report("a", 0, ItemEnd::Failed { run: 2 });
+    group.report("a", 0, ItemOutcome::Failed { run: 1 });
+    group.report("a", 0, ItemOutcome::Failed { run: 2 });
     assert_eq!(group.listed("a"), []);
-    group.report("a", 0, ItemEnd::Failed { run: 3 });
+    group.report("a", 0, ItemOutcome::Failed { run: 3 });
     assert_eq!(group.listed("a"), [(0, ListedState::Dead)]);
 }
 
@@ -223,11 +223,11 @@
     let mut group = Group::default();
     group.submit("a", 1);
     for _ in 0..4 {
-        group.report("a", 0, ItemEnd::Failed { run: 1 });
-        group.report("a", 0, ItemEnd::Failed { run: 2 });
+        group.report("a", 0, ItemOutcome::Failed { run: 1 });
+        group.report("a", 0, ItemOutcome::Failed { run: 2 });
     }
     assert_eq!(group.listed("a"), []);
-    group.report("a", 0, ItemEnd::Failed { run: 3 });
+    group.report("a", 0, ItemOutcome::Failed { run: 3 });
     assert_eq!(group.listed("a"), [(0, ListedState::Dead)]);
 }
 
--- a/crates/pinerill-cluster/tests/stored_formats.rs
+++ b/crates/pinerill-cluster/tests/stored_formats.rs
@@ -19,7 +19,7 @@
     assert_eq!(held.document, b"{doc}", "format {format}");
     let route = &held.table.routes[0];
     assert_eq!(
-        (route.rank, route.is_public, route.caller_patience_ms),
+        (route.rank, route.is_public, route.caller_idle_timeout_ms),
         (2, false, Some(4000))
     );
     let tenants = held.table.tenants.as_deref();
--- a/crates/pinerill-forward/src/batch/item.rs
+++ b/crates/pinerill-forward/src/batch/item.rs
@@ -6,9 +6,9 @@
 use http::StatusCode;
 use pinerill_calls::compression::compress;
 use pinerill_calls::directory::WorkerId;
-use pinerill_calls::job::{ItemEnd, ItemReport};
+use pinerill_calls::job::{ItemOutcome, ItemReport};
 use pinerill_calls::message::LeasedItem;
-use pinerill_calls::protocol::{AttemptFacts, NotRunReason, Verdict};
+use pinerill_calls::protocol::{AttemptContext, NotRunReason, Verdict};
 use pinerill_process::clock::{suspensions, BootTime};
 use tokio::time::{sleep, timeout};
 
@@ -71,12 +71,12 @@
         }
     };
     let outcome = match &end {
-        ItemEnd::Completed(_) => "completed",
-        ItemEnd::Impossible => "impossible",
-        ItemEnd::Failed { .. } => "failed",
+        ItemOutcome::Completed(_) => "completed",
+        ItemOutcome::Impossible => "impossible",
+        ItemOutcome::Failed { .. } => "failed",
     };
     node.metrics.item_ended(outcome);
-    if let ItemEnd::Completed(_) = &end {
+    if let ItemOutcome::Completed(_) = &end {
         node.runs.item_ended(running.ran);
     }
     log::info!(
@@ -92,7 +92,7 @@
 /// How an attempt at one worker ended.
 enum Attempt {
     /// The item has an end.
-    Ended(ItemEnd),
+    Ended(ItemOutcome),
     /// It must go on elsewhere.
     GoesOn,
     /// It is known to crash workers.
@@ -142,7 +142,7 @@
     held: &Held,
     running: &mut Running,
     place: Occupied,
-) -> Option<ItemEnd> {
+) -> Option<ItemOutcome> {
     let chosen = place.worker().clone();
     running.attempts += 1;
     let Begun {
@@ -170,9 +170,9 @@
         Verdict::Impossible => {
             run.answered();
             drain(node, sent).await;
-            Some(ItemEnd::Impossible)
+            Some(ItemOutcome::Impossible)
         }
-        Verdict::Taken if sent.head.status == StatusCode::OK => {
+        Verdict::Accepted if sent.head.status == StatusCode::OK => {
             let began = BootTime::now();
             let read = read_events(running, held, sent.exchange, place, &mut run, node).await;
             running.ran += began.elapsed();
@@ -187,7 +187,7 @@
                     let text = std::mem::take(&mut running.text).into_bytes();
                     let kept = compress(&text);
                     running.bytes = (text.len(), kept.len());
-                    Some(ItemEnd::Completed(kept))
+                    Some(ItemOutcome::Completed(kept))
                 }
                 Err(reason) => {
                     run.broke(&reason);
@@ -196,10 +196,10 @@
                 }
             }
         }
-        Verdict::Failed | Verdict::Taken | Verdict::Other => {
+        Verdict::Failed | Verdict::Accepted | Verdict::Other => {
             run.answered();
             drain(node, sent).await;
-            Some(ItemEnd::Failed {
+            Some(ItemOutcome::Failed {
                 run: rand::random(),
             })
         }
@@ -246,7 +246,7 @@
     let permit = place.permit();
     node.confirm(&worker, permit).await?;
     let run = WorkerRun::begin(node, &worker, &running.identity, running.last);
-    let facts = AttemptFacts {
+    let facts = AttemptContext {
         remaining: None,
         worker: worker.id.name(),
         resume_after: running.last,
--- a/crates/pinerill-forward/src/batch/running.rs
+++ b/crates/pinerill-forward/src/batch/running.rs
@@ -10,7 +10,7 @@
 use pinerill_calls::directory::WorkerId;
 use pinerill_calls::job::{Header, ItemCall};
 use pinerill_calls::message::{decode_any, CallsRequest, CallsResponse, LeasedItem, ReadItem};
-use pinerill_calls::table::Homes;
+use pinerill_calls::table::AllowedRegions;
 use pinerill_process::clock::BootTime;
 
 use crate::crash::{RequestIdentity, Requester};
@@ -26,7 +26,7 @@
     pub(super) leased: LeasedItem,
     pub(super) service: String,
     /// Regions in which it may run.
-    pub(super) homes: Homes,
+    pub(super) homes: AllowedRegions,
     pub(super) headers: Vec<Header>,
     pub(super) identity: Arc<RequestIdentity>,
     pub(super) request: WorkerRequest,
@@ -73,7 +73,7 @@
     );
     let tenant = leased.item.job.tenant();
     Some(Running {
-        homes: table.homes_of(route, tenant),
+        homes: table.allowed_regions(route, tenant),
         identity: Arc::new(identity),
         service,
         prompt: Prompt::of_call(&node.caller_protocol.item_head(&call.headers)),
--- a/crates/pinerill-forward/src/call/attempt.rs
+++ b/crates/pinerill-forward/src/call/attempt.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use pinerill_calls::directory::WorkerId;
-use pinerill_calls::protocol::{AttemptFacts, NotRunReason, Verdict};
+use pinerill_calls::protocol::{AttemptContext, NotRunReason, Verdict};
 use pinerill_process::clock::{timeout_at, BootTime};
 use tokio::time::sleep;
 
@@ -72,7 +72,7 @@
             return Err(self.handle_not_sent(node, &worker.id, call, &reason));
         }
         let run = Run::begin(node, &worker, &call.identity, resume_after);
-        let facts = AttemptFacts {
+        let facts = AttemptContext {
             remaining: Some(call.remaining()),
             worker: worker.id.name(),
             resume_after,
--- a/crates/pinerill-forward/src/call/online.rs
+++ b/crates/pinerill-forward/src/call/online.rs
@@ -64,7 +64,7 @@
 
 fn is_event_stream(call: &Call, attempted: &Attempted) -> bool {
     call.route.kind.is_stream()
-        && attempted.sent.answer.verdict == Verdict::Taken
+        && attempted.sent.answer.verdict == Verdict::Accepted
         && attempted.sent.head.status == StatusCode::OK
 }
 
--- a/crates/pinerill-forward/src/call/relay.rs
+++ b/crates/pinerill-forward/src/call/relay.rs
@@ -199,7 +199,8 @@
             )
             .await;
         let Attempted { sent, slot, run } = attempted?;
-        let continues = sent.answer.verdict == Verdict::Taken && sent.head.status == StatusCode::OK;
+        let continues =
+            sent.answer.verdict == Verdict::Accepted && sent.head.status == StatusCode::OK;
         if !continues {
             run.answered();
             return Err(AttemptEnd::MayHaveRun);
--- a/crates/pinerill-forward/src/call/request.rs
+++ b/crates/pinerill-forward/src/call/request.rs
@@ -6,7 +6,7 @@
 
 use http::HeaderMap;
 use pinerill_calls::protocol::CallHead;
-use pinerill_calls::table::{Access, Homes, Route};
+use pinerill_calls::table::{Access, AllowedRegions, Route};
 use pinerill_process::clock::BootTime;
 
 use crate::crash::RequestIdentity;
@@ -44,7 +44,7 @@
     /// Route that matched the call's host and path.
     pub route: Arc<Route>,
     /// Regions in which the call may be served: those that both the route and the tenant allow.
-    pub homes: Homes,
+    pub homes: AllowedRegions,
     /// Service that was drawn by weight from the route's targets.
     pub service: String,
     /// Version of the route table by which the call was routed.
@@ -83,7 +83,7 @@
     /// Returns the time by which the first event must reach the caller: the moment at which the
     /// caller gives up, or the deadline if that is earlier or the caller does not give up.
     pub fn first_event_deadline(&self) -> BootTime {
-        let timeout = self.route.caller_patience_ms.map(Duration::from_millis);
+        let timeout = self.route.caller_idle_timeout_ms.map(Duration::from_millis);
         let given_up = timeout.map(|timeout| self.arrived + timeout);
         given_up.map_or(self.deadline, |at| at.min(self.deadline))
     }
--- a/crates/pinerill-forward/src/dispatch/mod.rs
+++ b/crates/pinerill-forward/src/dispatch/mod.rs
@@ -22,7 +22,7 @@
 
 use parking_lot::Mutex;
 use pinerill_calls::directory::WorkerId;
-use pinerill_calls::table::Homes;
+use pinerill_calls::table::AllowedRegions;
 use pinerill_process::clock::timeout_at;
 use tokio::sync::{oneshot, Notify};
 use tokio::time::{sleep, timeout};
@@ -75,7 +75,7 @@
     prompt: Prompt,
     except: Vec<WorkerId>,
     runs_once: bool,
-    homes: Homes,
+    homes: AllowedRegions,
     grant: oneshot::Sender<Result<Placed, Unplaced>>,
 }
 
--- a/crates/pinerill-forward/src/fleet/choice.rs
+++ b/crates/pinerill-forward/src/fleet/choice.rs
@@ -4,7 +4,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use pinerill_calls::directory::WorkerId;
-use pinerill_calls::table::Homes;
+use pinerill_calls::table::AllowedRegions;
 
 use super::prefixes::Prompt;
 use super::suspicion;
@@ -41,7 +41,7 @@
     /// The call may run once, so that it is lost if its worker fails.
     pub runs_once: bool,
     /// Regions in which it may be served.
-    pub homes: &'a Homes,
+    pub homes: &'a AllowedRegions,
 }
 
 /// Where a caller's call may go now.
@@ -217,9 +217,9 @@
     }
 
     /// Whether a worker stands in a region that is allowed.
-    pub(super) fn is_home(&self, homes: &Homes, worker: &Worker) -> bool {
+    pub(super) fn is_home(&self, homes: &AllowedRegions, worker: &Worker) -> bool {
         let region = self.regions.get(&worker.entry().zone);
-        homes.allow(region.map(String::as_str))
+        homes.allows(region.map(String::as_str))
     }
 
     pub(super) fn chosen(&self, now_ms: u64, worker: &Worker, prompt: &Prompt) -> Chosen {
--- a/crates/pinerill-forward/src/gateway/jobs.rs
+++ b/crates/pinerill-forward/src/gateway/jobs.rs
@@ -11,7 +11,7 @@
     decode_any, CallsRequest, CallsResponse, ReadItem, ReadResults, SubmitOutcome,
 };
 use pinerill_calls::protocol::{CallerAnswer, CallerRequest, HttpAnswer, Refusal};
-use pinerill_calls::table::Homes;
+use pinerill_calls::table::AllowedRegions;
 use pinerill_process::clock::BootTime;
 
 use crate::cluster::{Answered, CallFailure};
@@ -32,11 +32,11 @@
 ///
 /// # Errors
 /// Returns a refusal if one of them is in another region, or if their zones are not known.
-pub(super) fn check_homes(node: &Node, homes: &Homes) -> Result<(), Refusal> {
+pub(super) fn check_homes(node: &Node, homes: &AllowedRegions) -> Result<(), Refusal> {
     let zones = node.cluster.member_zones();
-    let is_home = |zone: &String| homes.allow(node.settings.zones.get(zone).map(String::as_str));
+    let is_home = |zone: &String| homes.allows(node.settings.zones.get(zone).map(String::as_str));
     let are_home = !zones.is_empty() && zones.iter().all(is_home);
-    if !homes.are_restricted() || are_home {
+    if !homes.is_restricted() || are_home {
         return Ok(());
     }
     Err(Refusal::NotRun {
--- a/crates/pinerill-forward/src/gateway/request.rs
+++ b/crates/pinerill-forward/src/gateway/request.rs
@@ -120,7 +120,7 @@
     let deadline = Call::deadline_of(&call, &route, arrived);
     let limit = table.table().limits.max_body_bytes;
     if route.kind == RouteKind::Batch && head.method == Method::POST {
-        jobs::check_homes(&node, &access.homes(&route))?;
+        jobs::check_homes(&node, &access.allowed_regions(&route))?;
         let body = read_body(body, limit, deadline).await?;
         let job = node
             .caller_protocol
@@ -223,7 +223,7 @@
             head: self.call,
             headers: head.headers,
             rank: self.access.rank(&self.route),
-            homes: self.access.homes(&self.route),
+            homes: self.access.allowed_regions(&self.route),
             access: self.access,
             permit: self.permit,
             route: self.route,
--- a/crates/pinerill-forward/src/peers/mod.rs
+++ b/crates/pinerill-forward/src/peers/mod.rs
@@ -146,21 +146,21 @@
 
     /// Promises a place to a node of this zone.
     pub(crate) fn promise(&self, to: SocketAddr, worker: WorkerKey) {
-        self.send(&PeerMessage::PlaceFree { worker }, Reach::Near, [to]);
+        self.send(&PeerMessage::PlaceFree { worker }, Reach::SameZone, [to]);
     }
 
     fn send_near(&self, message: &PeerMessage) {
         let near = &self.addresses.read().near;
-        self.send(message, Reach::Near, near.iter().copied());
+        self.send(message, Reach::SameZone, near.iter().copied());
     }
 
     fn send_to_near(&self, message: &PeerMessage, to: impl IntoIterator<Item = SocketAddr>) {
-        self.send(message, Reach::Near, to);
+        self.send(message, Reach::SameZone, to);
     }
 
     /// Sends to other zones.
     fn send_far(&self, message: &PeerMessage, to: Vec<SocketAddr>) {
-        self.send(message, Reach::Far, to);
+        self.send(message, Reach::OtherZone, to);
     }
 
     fn send(&self, message: &PeerMessage, reach: Reach, to: impl IntoIterator<Item = SocketAddr>) {
--- a/crates/pinerill-forward/tests/births.rs
+++ b/crates/pinerill-forward/tests/births.rs
@@ -4,7 +4,7 @@
 
 use pinerill_calls::directory::{WorkerEntry, WorkerId, WorkerState};
 use pinerill_calls::protocol::{CallHead, PromptPart};
-use pinerill_calls::table::ANYWHERE;
+use pinerill_calls::table::ALL_REGIONS;
 use pinerill_forward::fleet::{
     ChoiceSettings, Fleet, Placement, Prompt, TellingOrder, Wanted, WorkerCount, WorkerKey,
 };
@@ -32,7 +32,7 @@
         prompt: &prompt(),
         except: &[],
         runs_once: false,
-        homes: &ANYWHERE,
+        homes: &ALL_REGIONS,
     };
     fleet.place(0, &wanted, false, |_, _| true)
 }
--- a/crates/pinerill-forward/tests/evacuation.rs
+++ b/crates/pinerill-forward/tests/evacuation.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use pinerill_calls::evacuation::Evacuations;
-use pinerill_calls::table::{Homes, SlowStart, ANYWHERE};
+use pinerill_calls::table::{AllowedRegions, SlowStart, ALL_REGIONS};
 use pinerill_forward::fleet::{
     ChoiceSettings, Fleet, Placement, Prompt, Standing, Wanted, WorkerKey,
 };
@@ -26,7 +26,7 @@
     fleet
 }
 
-fn wanted<'a>(prompt: &'a Prompt, homes: &'a Homes) -> Wanted<'a> {
+fn wanted<'a>(prompt: &'a Prompt, homes: &'a AllowedRegions) -> Wanted<'a> {
     Wanted {
         service: "svc",
         prompt,
@@ -38,7 +38,7 @@
 
 fn placed(fleet: &Fleet, now_ms: u64) -> Option<String> {
     let prompt = Prompt::default();
-    match fleet.place(now_ms, &wanted(&prompt, &ANYWHERE), true, |_, _| true) {
+    match fleet.place(now_ms, &wanted(&prompt, &ALL_REGIONS), true, |_, _| true) {
         Placement::Room(chosen) => Some(chosen.entry.id.to_string()),
         Placement::Full | Placement::NoWorker => None,
     }
@@ -52,13 +52,13 @@
     evacuations.evacuate("near");
     assert!(fleet.take_evacuations(10, evacuations));
     assert_eq!(placed(&fleet, 20).as_deref(), Some("b"));
-    let item = fleet.choose_for_item(20, &wanted(&prompt, &ANYWHERE));
+    let item = fleet.choose_for_item(20, &wanted(&prompt, &ALL_REGIONS));
     assert_eq!(item.expect("a worker").entry.id.as_str(), "b");
     assert!(
         fleet.promise(20, "a", 100).is_none(),
         "its place is promised to nobody"
     );
-    let promised = fleet.promised(20, WorkerKey::of("a"), &wanted(&prompt, &ANYWHERE));
+    let promised = fleet.promised(20, WorkerKey::of("a"), &wanted(&prompt, &ALL_REGIONS));
     assert!(promised.is_none(), "a promise from before is not taken");
     assert_eq!(fleet.standing(20, "a"), Standing::Evacuated);
     assert_eq!(fleet.standing(20, "b"), Standing::Confirmed);
@@ -99,15 +99,23 @@
     let regions = regions.map(|(zone, region)| (zone.to_owned(), region.to_owned()));
     let fleet = fleet().with_regions(regions.into_iter().collect());
     let prompt = Prompt::default();
-    let placed = |homes: &Homes| match fleet.place(10, &wanted(&prompt, homes), true, |_, _| true) {
+    let placed = |homes: &AllowedRegions| match fleet.place(
+        10,
+        &wanted(&prompt, homes),
+        true,
+        |_, _| true,
+    ) {
         Placement::Room(chosen) => Some(chosen.entry.id.to_string()),
         Placement::Full | Placement::NoWorker => None,
     };
-    let south = Homes::of(["south".to_owned()]);
+    let south = AllowedRegions::from_list(["south".to_owned()]);
     assert_eq!(placed(&south).as_deref(), Some("b"));
     let promised = fleet.promised(10, WorkerKey::of("a"), &wanted(&prompt, &south));
     assert!(promised.is_none());
     let item = fleet.choose_for_item(10, &wanted(&prompt, &south));
     assert_eq!(item.expect("a worker").entry.id.as_str(), "b");
-    assert_eq!(placed(&Homes::of(["east".to_owned()])), None);
+    assert_eq!(
+        placed(&AllowedRegions::from_list(["east".to_owned()])),
+        None
+    );
 }
--- a/crates/pinerill-forward/tests/fleet.rs
+++ b/crates/pinerill-forward/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 use pinerill_calls::directory::{WorkerEntry, WorkerId, WorkerState};
 use pinerill_calls::protocol::{CallHead, LoadSample, PromptPart};
-use pinerill_calls::table::ANYWHERE;
+use pinerill_calls::table::ALL_REGIONS;
 use pinerill_forward::fleet::{
     ChoiceSettings, Fleet, Placement, Prompt, TellingOrder, Wanted, WorkerCount, WorkerKey,
 };
@@ -54,7 +54,7 @@
         prompt,
         except,
         runs_once: false,
-        homes: &ANYWHERE,
+        homes: &ALL_REGIONS,
     }
 }
 
--- a/crates/pinerill-forward/tests/proven_workers.rs
+++ b/crates/pinerill-forward/tests/proven_workers.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use pinerill_calls::directory::{WorkerEntry, WorkerId};
-use pinerill_calls::table::ANYWHERE;
+use pinerill_calls::table::ALL_REGIONS;
 use pinerill_forward::fleet::{ChoiceSettings, Fleet, Placement, Prompt, Wanted, WorkerKey};
 use support::entry;
 
@@ -26,7 +26,7 @@
         prompt,
         except: &[],
         runs_once,
-        homes: &ANYWHERE,
+        homes: &ALL_REGIONS,
     }
 }
 
--- a/crates/pinerill-forward/tests/restarted_worker.rs
+++ b/crates/pinerill-forward/tests/restarted_worker.rs
@@ -10,7 +10,9 @@
 use http::{HeaderMap, Method};
 use pinerill_calls::directory::{WorkerEntry, WorkerId, WorkerState};
 use pinerill_calls::job::Header;
-use pinerill_calls::protocol::{AttemptFacts, HealthAnswer, Verdict, WorkerAnswer, WorkerProtocol};
+use pinerill_calls::protocol::{
+    AttemptContext, HealthAnswer, Verdict, WorkerAnswer, WorkerProtocol,
+};
 use pinerill_forward::exchange::{BreakReason, ConnectionPool, Exchange, WorkerRequest};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -22,18 +24,18 @@
 struct Plain;
 
 impl WorkerProtocol for Plain {
-    fn call_headers(&self, caller: &HeaderMap, _: &AttemptFacts<'_>) -> HeaderMap {
+    fn call_headers(&self, caller: &HeaderMap, _: &AttemptContext<'_>) -> HeaderMap {
         caller.clone()
     }
 
-    fn item_headers(&self, _: &str, _: &str, _: &[Header], _: &AttemptFacts<'_>) -> HeaderMap {
+    fn item_headers(&self, _: &str, _: &str, _: &[Header], _: &AttemptContext<'_>) -> HeaderMap {
         HeaderMap::new()
     }
 
     fn read_answer(&self, _: &Parts) -> WorkerAnswer {
         WorkerAnswer {
             id: None,
-            verdict: Verdict::Taken,
+            verdict: Verdict::Accepted,
             load: None,
             closes: false,
             encoded: false,
--- a/crates/pinerill-forward/tests/slow_start.rs
+++ b/crates/pinerill-forward/tests/slow_start.rs
@@ -11,7 +11,7 @@
 use std::collections::VecDeque;
 
 use pinerill_calls::directory::{WorkerEntry, WorkerId};
-use pinerill_calls::table::{Service, SlowStart, ANYWHERE};
+use pinerill_calls::table::{Service, SlowStart, ALL_REGIONS};
 use pinerill_forward::fleet::{ChoiceSettings, Fleet, Placement, Prompt, Wanted};
 use pinerill_quota::bucket::TokenBucket;
 use pinerill_quota::lender::Lender;
@@ -160,7 +160,7 @@
         prompt: &prompt,
         except: &[],
         runs_once: false,
-        homes: &ANYWHERE,
+        homes: &ALL_REGIONS,
     };
     let placement = node.fleet.place(now_ms, &wanted, true, |_, _| true);
     if !matches!(placement, Placement::Room(_)) {
