--- a/crates/pinerill-calls/src/settings.rs
+++ b/crates/pinerill-calls/src/settings.rs
@@ -1,4 +1,6 @@
-//! Settings of processes that forward calls: one typed TOML file.
+//! Settings of nodes and control machines, read from a TOML file.
+//!
+//! A process reads the file at its start and rejects unknown fields and invalid values.
 
 mod control;
 mod node;
@@ -12,41 +14,41 @@
 pub use control::{ControlSettings, QuotaSettings, SlowStartSettings, WorkerListSettings};
 pub use node::NodeSettings;
 
-/// An example with every field that has no default, and the defaults.
+/// Example settings file. It contains every required field and the optional fields with their
+/// default values.
 pub const EXAMPLE: &str = include_str!("settings/example.toml");
 
-/// All settings of a process.
+/// Contents of a settings file.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ForwardingSettings {
-    /// What every process knows.
+    /// Settings that all processes of a cluster share.
     pub cluster: ClusterSettings,
-    /// Of a control machine.
+    /// Settings of a control machine; `None` if the file lacks the section `[control]`.
     pub control: Option<ControlSettings>,
-    /// Of a node.
+    /// Settings of a node; `None` if the file lacks the section `[node]`.
     pub node: Option<NodeSettings>,
-    /// Of the log.
+    /// Settings of the log.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// What every process knows.
+/// Settings that all processes of a cluster share; the section `[cluster]`.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClusterSettings {
-    /// The cluster's name; a process of another cluster is refused.
+    /// Name of the cluster. Connections from processes of another cluster are rejected.
     pub name: String,
-    /// File with the cluster's secret key, 64 hexadecimal digits. Without one
-    /// processes prove nothing to each other: only for a network that lets
-    /// nobody else in.
+    /// File with the secret key of the cluster, 64 hexadecimal digits. Without a key, processes
+    /// do not authenticate each other, which is safe only in a network that is closed to others.
     pub key_file: Option<PathBuf>,
 }
 
-/// Settings of the log.
+/// Settings of the log; the section `[log]`.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogSettings {
-    /// `error`, `warn`, `info`, `debug` or `trace`.
+    /// Lowest level that is logged: `error`, `warn`, `info`, `debug` or `trace`.
     pub level: String,
 }
 
@@ -58,30 +60,30 @@
     }
 }
 
-/// Settings that can't be used.
+/// Error of a settings file that can't be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// The file is no settings file.
+    /// The file is not valid TOML, or its fields do not match the settings.
     #[error("read settings: {0}")]
     Malformed(String),
-    /// A section that the process needs is missing.
+    /// The file lacks the section with this name, which the process needs.
     #[error("settings: the section [{0}] is missing")]
     MissingSection(&'static str),
-    /// A field has a value that can't be used.
+    /// A field has an invalid value.
     #[error("settings: {field}: {message}")]
     Field {
-        /// The field with its section.
+        /// Path of the field, which begins with its section.
         field: &'static str,
-        /// What is wrong.
+        /// Requirement that the value does not meet.
         message: &'static str,
     },
 }
 
 impl ForwardingSettings {
-    /// Reads and checks a settings file.
+    /// Parses the text of a settings file and validates it.
     ///
     /// # Errors
-    /// The first thing that is wrong.
+    /// Returns the first fault that is found.
     pub fn read(text: &str) -> Result<Self, SettingsError> {
         let settings: ForwardingSettings =
             toml::from_str(text).map_err(|error| SettingsError::Malformed(error.to_string()))?;
@@ -95,10 +97,10 @@
     }
 }
 
-/// The cluster's key.
+/// Loads the secret key of the cluster, or returns the empty key if no key file is set.
 ///
 /// # Errors
-/// When its file can't be read.
+/// Returns an error if the key file can't be read or does not contain a key.
 pub fn cluster_key(cluster: &ClusterSettings) -> Result<ClusterKey, KeyError> {
     match &cluster.key_file {
         Some(path) => ClusterKey::load(path),
@@ -106,8 +108,12 @@
     }
 }
 
-fn require(holds: bool, field: &'static str, message: &'static str) -> Result<(), SettingsError> {
-    match holds {
+fn require(
+    condition: bool,
+    field: &'static str,
+    message: &'static str,
+) -> Result<(), SettingsError> {
+    match condition {
         true => Ok(()),
         false => Err(SettingsError::Field { field, message }),
     }
--- a/crates/pinerill-calls/src/settings/control.rs
+++ b/crates/pinerill-calls/src/settings/control.rs
@@ -1,4 +1,4 @@
-//! Settings of a control machine.
+//! Settings of a control machine and their validation.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,66 +15,65 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSettings {
-    /// The machine's name, unique in the cluster.
+    /// Name of the machine, unique in the cluster.
     pub name: String,
-    /// Its zone.
+    /// Zone in which the machine runs.
     pub zone: String,
-    /// Address for the cluster's own processes.
+    /// Listen address for connections of other nodes and control machines.
     pub listen: SocketAddr,
-    /// Advertised address: where other machines are told to connect, when a
-    /// proxy stands in front of `listen`. Without it they are told `listen`.
+    /// Address to which other processes connect if a proxy forwards connections to `listen`.
+    /// `None` means that they connect to `listen`.
     pub advertise: Option<SocketAddr>,
-    /// Address for operators.
+    /// Listen address for requests of operators.
     pub operator_listen: SocketAddr,
-    /// Address for metrics, liveness and readiness.
+    /// Listen address for metrics, liveness and readiness.
     pub admin: SocketAddr,
     /// Folder for all durable state.
     pub data_folder: PathBuf,
-    /// Megabytes that the data folder may take; 0 for no bound.
+    /// Maximum size of the data folder in megabytes; 0 means no limit.
     #[serde(default)]
     pub disk_mb: u64,
-    /// Addresses of some control machines; at the founding, of all voters, the
-    /// same on every machine.
+    /// Addresses of some control machines. When the cluster is founded, they must be the addresses
+    /// of all voters and identical on every machine.
     pub seeds: Vec<SocketAddr>,
-    /// Port at which seeds listen for the cluster's own processes, where the
-    /// addresses in `seeds` name another one.
+    /// Port for connections to the seeds, which replaces the ports in `seeds`. `None` keeps the
+    /// ports in `seeds`.
     pub seed_port: Option<u16>,
-    /// The cluster is being founded: those of `seeds` form it. True only at
-    /// the first start, on empty data folders.
+    /// Whether this start founds a new cluster whose voters are the machines in `seeds`. It must
+    /// be true only at the first start, with empty data folders.
     #[serde(default)]
     pub found: bool,
-    /// Machines whose loss at once must be borne. The group has at least twice as
-    /// many voters and one, and up to four times as many and one where there are
-    /// machines for it.
+    /// Number `n` of control machines that may fail at the same time. The replicated group has at
+    /// least `2n + 1` voters, and up to `4n + 1` if there are enough machines.
     pub tolerated_losses: usize,
-    /// The platform list of workers.
+    /// The platform's worker list.
     pub worker_list: WorkerListSettings,
-    /// How long a finished job can be read, seconds.
+    /// Time for which the results of a finished job can be read, in seconds.
     #[serde(default = "default_retention_s")]
     pub retention_s: f64,
-    /// How far tenants' limits may be exceeded.
+    /// Tolerance of the tenants' request limits.
     #[serde(default)]
     pub quota: QuotaSettings,
-    /// How far the rate of workers that are still cold may be exceeded.
+    /// Tolerance of the rate limits of cold workers.
     #[serde(default)]
     pub slow_start: SlowStartSettings,
-    /// The fleet's zones with the region of each. Where they are not named, an order about
-    /// any zone is taken.
+    /// Zones of the fleet, each with its region. If empty, evacuation orders for any zone are
+    /// accepted.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
 }
 
-/// Window in which the requests to a cold worker are counted, milliseconds.
+/// Length of the window in which requests to a cold worker are counted, in milliseconds.
 const SLOW_START_WINDOW_MS: u64 = 1_000;
 
-/// How far the requests of a second to a worker that is still cold may exceed its service's
-/// rate, over all nodes; the section `[control.slow_start]`.
+/// Tolerance by which the requests per second to a cold worker, over all nodes, may exceed the
+/// rate limit of its service; the section `[control.slow_start]`.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SlowStartSettings {
-    /// Multiple of the rate.
+    /// Tolerated rate as a multiple of the rate limit; at least 1.
     pub rate_factor: f64,
-    /// Requests besides.
+    /// Tolerated number of requests per second in addition to that rate.
     pub slack: f64,
 }
 
@@ -88,7 +87,7 @@
 }
 
 impl SlowStartSettings {
-    /// The same for the lender.
+    /// Returns the tolerance for the lender of request tokens.
     pub fn tolerance(&self) -> Tolerance {
         Tolerance {
             window_ms: SLOW_START_WINDOW_MS,
@@ -99,32 +98,32 @@
 
     fn check(&self) -> Result<(), SettingsError> {
         let factor = self.rate_factor;
-        let sound = factor.is_finite() && factor >= 1.0;
+        let is_valid = factor.is_finite() && factor >= 1.0;
         require(
-            sound,
+            is_valid,
             "control.slow_start.rate_factor",
             "must be at least 1",
         )?;
-        let sound = self.slack.is_finite() && self.slack >= 0.0;
-        require(sound, "control.slow_start.slack", "must not be negative")
+        let is_valid = self.slack.is_finite() && self.slack >= 0.0;
+        require(is_valid, "control.slow_start.slack", "must not be negative")
     }
 }
 
-/// Shortest window in which limits can be kept, seconds: twice the time for which a call
-/// may wait for its token, which the tolerance of a window must cover.
-const LEAST_QUOTA_WINDOW_S: f64 = 1.0;
+/// Minimum length of the quota window in seconds. It is twice the maximum time that a call waits
+/// for its token, because the tolerance of a window must cover that delay.
+const MIN_QUOTA_WINDOW_S: f64 = 1.0;
 
-/// How far the calls of a tenant may exceed its limit, over all nodes; the section
-/// `[control.quota]`. Nodes hold tokens ahead of calls within it; with none at all, limits
-/// are kept lower by what they hold.
+/// Tolerance by which the calls of a tenant, over all nodes, may exceed its limit; the section
+/// `[control.quota]`. Within this tolerance, nodes hold tokens in advance of calls. With a
+/// tolerance of zero, the effective limit is lower by the number of tokens that nodes hold.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct QuotaSettings {
-    /// Every span of this length counts, seconds.
+    /// Length of the window in seconds, at least 1. The bound applies to every span of this length.
     pub window_s: f64,
-    /// Part of what the limit allows in it.
+    /// Tolerated excess as a fraction of what the limit allows in a window.
     pub overage: f64,
-    /// Calls in it besides.
+    /// Tolerated excess in calls per window, in addition to `overage`.
     pub slack: f64,
 }
 
@@ -139,7 +138,7 @@
 }
 
 impl QuotaSettings {
-    /// The same for the lender.
+    /// Returns the tolerance for the lender of request tokens.
     pub fn tolerance(&self) -> Tolerance {
         Tolerance {
             window_ms: Duration::from_secs_f64(self.window_s).as_millis() as u64,
@@ -149,37 +148,43 @@
     }
 
     fn check(&self) -> Result<(), SettingsError> {
-        let sound = |value: f64| value.is_finite() && value >= 0.0;
-        let window = sound(self.window_s) && self.window_s >= LEAST_QUOTA_WINDOW_S;
-        require(window, "control.quota.window_s", "must be at least 1")?;
+        let is_valid = |value: f64| value.is_finite() && value >= 0.0;
+        let is_valid_window = is_valid(self.window_s) && self.window_s >= MIN_QUOTA_WINDOW_S;
+        require(
+            is_valid_window,
+            "control.quota.window_s",
+            "must be at least 1",
+        )?;
         let message = "must not be negative";
-        require(sound(self.overage), "control.quota.overage", message)?;
-        require(sound(self.slack), "control.quota.slack", message)
+        require(is_valid(self.overage), "control.quota.overage", message)?;
+        require(is_valid(self.slack), "control.quota.slack", message)
     }
 }
 
-/// Where workers are listed, and how often it is asked.
+/// Address and polling of the platform's worker list; the section `[control.worker_list]`.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkerListSettings {
-    /// Address of the list.
+    /// Address of the server that provides the list.
     pub address: SocketAddr,
-    /// Pause between two readings of the whole list, milliseconds.
+    /// Interval between two reads of the whole list, in milliseconds.
     #[serde(default = "default_poll_ms")]
     pub poll_ms: u64,
-    /// Calls a second that the list answers, from all processes together. A list of many pages
-    /// is read less often than each `poll_ms`.
+    /// Maximum number of requests per second that the list accepts from all processes together.
+    /// Because each page takes one request, a list of many pages is read less often than every
+    /// `poll_ms`.
     #[serde(default = "default_worker_list_calls_per_s")]
     pub calls_per_s: f64,
-    /// Time from the moment at which the list shows a worker as leaving after which nothing
-    /// new may reach it, milliseconds.
+    /// Time after the list first shows a worker as leaving from which on no new request may reach
+    /// the worker, in milliseconds.
     #[serde(default = "default_leave_notice_ms")]
     pub leave_notice_ms: u64,
 }
 
 impl WorkerListSettings {
-    /// Longest time between two readings, milliseconds: half of the notice, so that nodes hear
-    /// of a reading before what they know by the one before runs out.
+    /// Returns the maximum interval between two reads of the list, in milliseconds. It is half of
+    /// the leave notice, so that nodes receive the result of a read before that of the previous
+    /// read expires.
     pub fn max_poll_ms(&self) -> u64 {
         self.leave_notice_ms / 2
     }
@@ -194,23 +199,25 @@
 }
 
 impl ControlSettings {
-    /// Voters that the replicated group needs to bear the losses at all.
+    /// Returns the minimum number of voters with which the replicated group tolerates the losses.
     pub fn min_voters(&self) -> usize {
         2 * self.tolerated_losses + 1
     }
 
-    /// Voters with which it bears them while as many others, lost before, are
-    /// being replaced: that takes as long as a whole state needs to be sent.
+    /// Returns the number of voters with which the group tolerates the losses while as many
+    /// machines that failed earlier are still being replaced. A replacement takes as long as the
+    /// transfer of a full snapshot.
     pub fn max_voters(&self) -> usize {
         4 * self.tolerated_losses + 1
     }
 
-    /// Address that other machines are told.
+    /// Returns the address to which other processes connect.
     pub fn advertised_address(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
     }
 
-    /// Internal addresses of the seeds.
+    /// Returns the addresses of the seeds for connections within the cluster, with `seed_port`
+    /// applied.
     pub fn seed_addresses(&self) -> Vec<SocketAddr> {
         with_port(&self.seeds, self.seed_port)
     }
@@ -218,11 +225,11 @@
     pub(super) fn check(&self) -> Result<(), SettingsError> {
         require(!self.name.is_empty(), "control.name", "must not be empty")?;
         require(!self.seeds.is_empty(), "control.seeds", "must not be empty")?;
-        let differ = self.listen != self.operator_listen
+        let are_distinct = self.listen != self.operator_listen
             && self.listen != self.admin
             && self.operator_listen != self.admin;
         require(
-            differ,
+            are_distinct,
             "control.listen",
             "listen, operator_listen and admin must differ",
         )?;
@@ -242,7 +249,7 @@
     }
 }
 
-/// The addresses, with another port if one is given.
+/// Returns the addresses with their ports replaced by `port`, if one is given.
 pub(super) fn with_port(addresses: &[SocketAddr], port: Option<u16>) -> Vec<SocketAddr> {
     let port_of = |address: &SocketAddr| port.unwrap_or(address.port());
     addresses
--- a/crates/pinerill-calls/src/settings/node.rs
+++ b/crates/pinerill-calls/src/settings/node.rs
@@ -1,4 +1,4 @@
-//! Settings of a node.
+//! Settings of a node and their validation.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,70 +12,76 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
-    /// The node's name, unique in the cluster.
+    /// Name of the node, unique in the cluster.
     pub name: String,
-    /// Its zone.
+    /// Zone in which the node runs.
     pub zone: String,
-    /// Address for callers.
+    /// Listen address for calls.
     pub listen: SocketAddr,
-    /// Address (UDP) at which the nodes of a zone hear each other.
+    /// UDP listen address for messages of other nodes.
     pub peer_listen: SocketAddr,
-    /// Address of the readiness probe.
+    /// Listen address of the readiness probe.
     pub ready_listen: SocketAddr,
-    /// Address for metrics, liveness and readiness.
+    /// Listen address for metrics, liveness and readiness.
     pub admin: SocketAddr,
     /// Addresses of some control machines.
     pub seeds: Vec<SocketAddr>,
-    /// Port at which seeds listen for the cluster's own processes, where the
-    /// addresses in `seeds` name another one.
+    /// Port for connections to the seeds, which replaces the ports in `seeds`. `None` keeps the
+    /// ports in `seeds`.
     pub seed_port: Option<u16>,
-    /// The platform list of workers, read while no control machine answers.
+    /// Address of the platform's worker list, which the node reads while no control machine
+    /// responds.
     pub worker_list: SocketAddr,
-    /// Calls a second that the platform list answers, from all processes together.
+    /// Maximum number of requests per second that the worker list accepts from all processes
+    /// together.
     #[serde(default = "default_worker_list_calls_per_s")]
     pub worker_list_calls_per_s: f64,
-    /// Time from the moment at which the platform list shows a worker as leaving after which
-    /// nothing new may reach it, milliseconds.
+    /// Time after the worker list first shows a worker as leaving from which on no new request may
+    /// reach the worker, in milliseconds.
     #[serde(default = "default_leave_notice_ms")]
     pub leave_notice_ms: u64,
-    /// Time for a planned stop, seconds.
+    /// Maximum duration of a graceful shutdown, in seconds.
     pub stop_s: f64,
-    /// Part of a worker's slots up to which items of jobs begin there; calls count.
+    /// Fraction of a worker's slots, from 0 to 1, up to which items of jobs are started on it.
+    /// Slots in use by calls count as well.
     #[serde(default = "default_batch_share")]
     pub batch_share: f64,
-    /// The fleet's zones with the region of each. A zone that is not named is in no region, so
-    /// that calls with homes don't go there.
+    /// Zones of the fleet, each with its region. The region of any other zone is unknown, so calls
+    /// that are restricted to some regions are not sent there.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
 }
 
-/// Five of six slots. Slots that items leave free between bursts of calls are lost to them,
-/// and items that are behind then keep their places in the next burst. On a fleet of 72
-/// workers of 6 slots whose calls come in bursts, the worth of three days with faults rose
-/// from 0.653, 0.696 and 0.705 with 0.75 to 0.748, 0.786 and 0.683; with 1.0, where each call
-/// must wait for an item to give way, it was 0.738, 0.772 and 0.655. On three smaller fleets
-/// the means of 5, 5 and 10 days are 0.792, 0.884, 0.686; 0.815, 0.888, 0.692; and 0.826,
-/// 0.875, 0.676.
+/// Returns five of six slots as a fraction. A lower fraction wastes the slots that items leave
+/// free between bursts of calls, and items that are late for this reason keep their slots in the
+/// next burst. With a fraction of 1, each call has to wait for an item to yield.
+///
+/// On a fleet of 72 workers with 6 slots each and calls in bursts, callers obtain these shares of
+/// the value of all requests on three days with faults: 0.653, 0.696 and 0.705 with a fraction of
+/// 0.75; 0.748, 0.786 and 0.683 with 0.84; 0.738, 0.772 and 0.655 with 1. The means of 5, 5 and 10
+/// days on three smaller fleets are 0.792, 0.884 and 0.686 with 0.75; 0.815, 0.888 and 0.692 with
+/// 0.84; 0.826, 0.875 and 0.676 with 1.
 fn default_batch_share() -> f64 {
     0.84
 }
 
-/// Half of what the users' lists answer.
+/// Returns half of the request rate that the worker lists of the deployed platforms accept.
 pub(super) fn default_worker_list_calls_per_s() -> f64 {
     20.0
 }
 
-/// The shortest that the users' deployments set.
+/// Returns the shortest leave notice that deployments configure.
 pub(super) fn default_leave_notice_ms() -> u64 {
     3_000
 }
 
-/// Shortest notice that can be kept, milliseconds: the list is read once a second, and nodes
-/// hear of each reading within half a second.
-const LEAST_LEAVE_NOTICE_MS: u64 = 1_000;
+/// Minimum leave notice that can be met, in milliseconds. The worker list is read once a second,
+/// and nodes receive the result of each read within half a second.
+const MIN_LEAVE_NOTICE_MS: u64 = 1_000;
 
 impl NodeSettings {
-    /// Internal addresses of the seeds.
+    /// Returns the addresses of the seeds for connections within the cluster, with `seed_port`
+    /// applied.
     pub fn seed_addresses(&self) -> Vec<SocketAddr> {
         with_port(&self.seeds, self.seed_port)
     }
@@ -95,7 +101,7 @@
             "must be above 0",
         )?;
         require(
-            self.leave_notice_ms >= LEAST_LEAVE_NOTICE_MS,
+            self.leave_notice_ms >= MIN_LEAVE_NOTICE_MS,
             "node.leave_notice_ms",
             "must be at least 1000",
         )?;
--- a/crates/pinerill-calls/tests/route_table.rs
+++ b/crates/pinerill-calls/tests/route_table.rs
@@ -1,4 +1,5 @@
-//! Route tables: what is invalid, and which route a call gets.
+//! Guards against invalid route tables that pass validation, and against calls that are routed to
+//! the wrong route or distributed to targets against their weights.
 
 use pinerill_calls::table::{
     AllowedRegions, RequestLimits, Route, RouteIndex, RouteKind, RouteTable, Service, TableError,
@@ -49,13 +50,13 @@
 }
 
 #[test]
-fn a_sound_table_passes() {
-    let sound = table(vec![route("a", "h", "/a/"), route("b", "h", "/b/")]);
-    assert_eq!(sound.check(), Ok(()));
+fn a_valid_table_passes_validation() {
+    let valid = table(vec![route("a", "h", "/a/"), route("b", "h", "/b/")]);
+    assert_eq!(valid.check(), Ok(()));
 }
 
 #[test]
-fn each_fault_is_named_with_its_route() {
+fn each_fault_of_a_route_is_reported_with_its_name() {
     let name = || "a".to_owned();
     let mut unknown = route("a", "h", "/a/");
     unknown.targets[0].service = "other".to_owned();
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn two_services_of_one_name_are_refused() {
+fn services_with_the_same_name_are_rejected() {
     let mut doubled = table(vec![]);
     doubled.services.push(service("s"));
     let expected = TableError::DuplicateService {
@@ -97,13 +98,13 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_counts() {
+fn the_longest_matching_prefix_of_the_host_selects_the_route() {
     let index = RouteIndex::new(table(vec![
         route("short", "h", "/a/"),
         route("long", "h", "/a/b/"),
         route("other", "g", "/a/b/c/"),
     ]));
-    let found = |host: &str, path: &str| index.route(host, path).map(|one| one.name.clone());
+    let found = |host: &str, path: &str| index.route(host, path).map(|route| route.name.clone());
     assert_eq!(found("h", "/a/b/c/d"), Some("long".to_owned()));
     assert_eq!(found("h", "/a/x"), Some("short".to_owned()));
     assert_eq!(found("H:8080", "/a/x"), Some("short".to_owned()));
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn weights_share_out_all_points() {
+fn targets_are_selected_in_proportion_to_their_weights() {
     let mut split = route("a", "h", "/a/");
     split.targets = [("x", 3), ("y", 0), ("z", 1)]
         .map(|(service, weight)| Target {
--- a/crates/pinerill-calls/tests/tenants.rs
+++ b/crates/pinerill-calls/tests/tenants.rs
@@ -1,4 +1,5 @@
-//! Who may call: keys, public routes, and which tables are invalid.
+//! Guards against access without a valid key, denied access to public routes, invalid tenants that
+//! pass validation, keys in debug output, and jobs that are attributed to the wrong tenant.
 
 use pinerill_calls::job::CallJobId;
 use pinerill_calls::table::{
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn a_table_without_tenants_serves_everybody() {
+fn a_table_without_tenants_grants_access_to_every_caller() {
     let open = RouteIndex::new(table(None, false));
     for key in [PresentedKey::Absent, PresentedKey::Unusable, key("any")] {
         assert_eq!(tenant_of(&open, "/c/", key), Ok(String::new()));
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn a_table_with_tenants_serves_their_keys_and_public_routes() {
+fn a_table_with_tenants_requires_a_known_key_except_on_public_routes() {
     let tenants = vec![tenant("a", &["1", "2"]), tenant("b", &["3"])];
     let keyed = RouteIndex::new(table(Some(tenants), false));
     assert_eq!(tenant_of(&keyed, "/c/", key("2")), Ok("a".to_owned()));
@@ -102,16 +103,18 @@
         assert_eq!(keyed.access_to_jobs("h", key), Err(reason));
         assert_eq!(keyed.access_to_jobs("other", key), Err(reason));
     }
-    let nobody = RouteIndex::new(table(Some(Vec::new()), true));
+    let without_tenants = RouteIndex::new(table(Some(Vec::new()), true));
     assert_eq!(
-        tenant_of(&nobody, "/c/", key("1")),
+        tenant_of(&without_tenants, "/c/", key("1")),
         Err(AccessDenied::UnknownKey)
     );
-    assert!(nobody.access_to_jobs("H:80", PresentedKey::Absent).is_ok());
+    assert!(without_tenants
+        .access_to_jobs("H:80", PresentedKey::Absent)
+        .is_ok());
 }
 
 #[test]
-fn a_tenants_rank_goes_before_its_routes() {
+fn the_rank_of_a_tenant_overrides_the_rank_of_the_route() {
     let mut urgent = tenant("a", &["1"]);
     urgent.rank = Some(0);
     let tenants = vec![urgent, tenant("b", &["2"])];
@@ -127,7 +130,7 @@
 }
 
 #[test]
-fn faults_of_tenants_are_named() {
+fn each_fault_of_a_tenant_is_reported() {
     let limited = |rate_per_s: f64, burst: f64| {
         let mut tenant = tenant("a", &["1"]);
         tenant.limit = Some(RequestLimit { rate_per_s, burst });
@@ -164,7 +167,7 @@
 }
 
 #[test]
-fn nothing_that_is_printed_shows_a_key() {
+fn debug_output_does_not_contain_keys() {
     let keyed = RouteIndex::new(table(Some(vec![tenant("a", &["secret"])]), false));
     let printed = format!("{keyed:?} {:?}", key("secret"));
     assert!(!printed.contains("secret"));
@@ -172,13 +175,14 @@
 }
 
 proptest! {
-    /// Names of jobs are what their tenants and callers call them, whatever these are.
+    /// Guards against job identifiers that mix up the tenant's name and the job's name: two jobs
+    /// must be equal only if both names are equal, whichever characters the names contain.
     #[test]
-    fn a_job_belongs_to_its_tenant(
+    fn job_identifiers_separate_tenant_and_name(
         tenants in prop::array::uniform2("[ -~]{1,12}"),
         names in prop::array::uniform2("[ -~]{0,12}"),
     ) {
-        let [one, other] = [0, 1].map(|at| CallJobId::new(Some(&tenants[at]), &names[at]));
+        let [one, other] = [0, 1].map(|index| CallJobId::new(Some(&tenants[index]), &names[index]));
         prop_assert_eq!(one.tenant(), Some(tenants[0].as_str()));
         prop_assert_eq!(one.name(), names[0].as_str());
         let same = tenants[0] == tenants[1] && names[0] == names[1];
