--- a/crates/pinerill-calls/src/protocol/worker.rs
+++ b/crates/pinerill-calls/src/protocol/worker.rs
@@ -60,9 +60,9 @@
     /// Load of the worker when it responded; `None` if the response does not report it.
     pub load: Option<LoadSample>,
     /// Whether the worker closes the connection after this response.
-    pub closes: bool,
+    pub closes_connection: bool,
     /// Whether the response body has a content encoding, such as compression by a proxy.
-    pub encoded: bool,
+    pub has_content_encoding: bool,
 }
 
 /// Parsed head of a worker's response to a health check.
--- a/crates/pinerill-calls/src/traffic.rs
+++ b/crates/pinerill-calls/src/traffic.rs
@@ -37,7 +37,7 @@
 
 /// Traffic counters of one purpose and reach.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Volume {
+pub struct TrafficCounters {
     /// Number of messages sent and received.
     pub messages: u64,
     /// Number of message bytes sent.
@@ -49,41 +49,41 @@
 /// Traffic counters of a process since its start, by purpose and reach.
 #[derive(Debug, Default)]
 pub struct Traffic {
-    volumes: Mutex<BTreeMap<(&'static str, Reach), Volume>>,
+    counters: Mutex<BTreeMap<(&'static str, Reach), TrafficCounters>>,
 }
 
 impl Traffic {
     /// Records that `messages` messages of `bytes` bytes each were sent.
-    pub fn sent(&self, purpose: &'static str, reach: Reach, messages: usize, bytes: usize) {
-        let mut volumes = self.volumes.lock();
-        let volume = volumes.entry((purpose, reach)).or_default();
-        volume.messages += messages as u64;
-        volume.sent += (messages * bytes) as u64;
+    pub fn record_sent(&self, purpose: &'static str, reach: Reach, messages: usize, bytes: usize) {
+        let mut counters = self.counters.lock();
+        let entry = counters.entry((purpose, reach)).or_default();
+        entry.messages += messages as u64;
+        entry.sent += (messages * bytes) as u64;
     }
 
     /// Records that a message of `bytes` bytes was received.
-    pub fn received(&self, purpose: &'static str, reach: Reach, bytes: usize) {
-        let mut volumes = self.volumes.lock();
-        let volume = volumes.entry((purpose, reach)).or_default();
-        volume.messages += 1;
-        volume.received += bytes as u64;
+    pub fn record_received(&self, purpose: &'static str, reach: Reach, bytes: usize) {
+        let mut counters = self.counters.lock();
+        let entry = counters.entry((purpose, reach)).or_default();
+        entry.messages += 1;
+        entry.received += bytes as u64;
     }
 
     /// Returns a copy of all counters by purpose and reach.
-    pub fn volumes(&self) -> BTreeMap<(&'static str, Reach), Volume> {
-        self.volumes.lock().clone()
+    pub fn counters(&self) -> BTreeMap<(&'static str, Reach), TrafficCounters> {
+        self.counters.lock().clone()
     }
 
     /// Returns the counters in the Prometheus text format, with metric names that begin with
     /// `prefix`.
     pub fn metrics_text(&self, prefix: &str) -> String {
         let mut text = String::new();
-        for ((purpose, reach), volume) in self.volumes() {
+        for ((purpose, reach), entry) in self.counters() {
             let reach = reach.label();
             let counts = [
-                ("messages", volume.messages),
-                ("sent_bytes", volume.sent),
-                ("received_bytes", volume.received),
+                ("messages", entry.messages),
+                ("sent_bytes", entry.sent),
+                ("received_bytes", entry.received),
             ];
             for (name, count) in counts {
                 // Writing to a `String` can't fail.
@@ -100,13 +100,13 @@
     /// `purpose/reach sent+received`, in bytes, and is followed by a space.
     pub fn summary(&self) -> String {
         let mut text = String::new();
-        for ((purpose, reach), volume) in self.volumes() {
+        for ((purpose, reach), entry) in self.counters() {
             let _ = write!(
                 text,
                 "{purpose}/{} {}+{} ",
                 reach.label(),
-                volume.sent,
-                volume.received
+                entry.sent,
+                entry.received
             );
         }
         text
--- a/crates/pinerill-cluster/src/server/service.rs
+++ b/crates/pinerill-cluster/src/server/service.rs
@@ -37,12 +37,12 @@
         let purpose = request.purpose();
         let reach = Reach::between(&self.control.record.zone, &peer.zone);
         let traffic = &self.control.traffic;
-        traffic.received(purpose, reach, bytes.len());
+        traffic.record_received(purpose, reach, bytes.len());
         let answered = self.control.answer_as(format, &peer.zone, request).await;
         let written = answered.and_then(|response| self.control.write(response, format));
         match written {
             Ok(bytes) => {
-                traffic.sent(purpose, reach, 1, bytes.len());
+                traffic.record_sent(purpose, reach, 1, bytes.len());
                 Response::Calls(bytes)
             }
             Err(refused) => Response::Refused(*refused),
--- a/crates/pinerill-forward/src/confirmation.rs
+++ b/crates/pinerill-forward/src/confirmation.rs
@@ -103,7 +103,7 @@
         let is_other_worker = answer.verdict == Verdict::NotRun(NotRunReason::OtherWorker);
         // A leaving worker closes its connections, but a worker may close one for other reasons
         // too.
-        if !answer.closes && !is_other_worker {
+        if !answer.closes_connection && !is_other_worker {
             self.with_fleet(|fleet, _| fleet.confirm_worker(asked_ms, worker));
         }
     }
--- a/crates/pinerill-forward/src/exchange/health.rs
+++ b/crates/pinerill-forward/src/exchange/health.rs
@@ -59,7 +59,7 @@
             return Ok(protocol.read_health(&head));
         }
     }
-    if !protocol.read_answer(&head).closes {
+    if !protocol.read_answer(&head).closes_connection {
         pool.put(&worker.id, connection, None);
     }
     Ok(protocol.read_health(&head))
--- a/crates/pinerill-forward/src/exchange/send.rs
+++ b/crates/pinerill-forward/src/exchange/send.rs
@@ -134,7 +134,7 @@
             let reason = BreakReason::OtherRequest;
             return Err(SendFailure { sent: true, reason });
         }
-        if answer.encoded {
+        if answer.has_content_encoding {
             let reason = BreakReason::Encoded;
             return Err(SendFailure { sent: true, reason });
         }
@@ -143,7 +143,7 @@
             connection,
             body,
             keep_alive: keep_alive(&head.headers),
-            closes: answer.closes,
+            closes: answer.closes_connection,
             incarnation,
         };
         Ok(StartedAnswer {
--- a/crates/pinerill-forward/src/peers/mod.rs
+++ b/crates/pinerill-forward/src/peers/mod.rs
@@ -171,7 +171,7 @@
             sent += usize::from(self.socket.try_send_to(&datagram, address).is_ok());
         }
         self.traffic
-            .sent(message.purpose(), reach, sent, datagram.len());
+            .record_sent(message.purpose(), reach, sent, datagram.len());
     }
 
     /// Bytes of datagrams by what they are for.
--- a/crates/pinerill-forward/tests/restarted_worker.rs
+++ b/crates/pinerill-forward/tests/restarted_worker.rs
@@ -37,8 +37,8 @@
             id: None,
             verdict: Verdict::Accepted,
             load: None,
-            closes: false,
-            encoded: false,
+            closes_connection: false,
+            has_content_encoding: false,
         }
     }
 
