--- a/crates/pinerill-calls/src/settings.rs
+++ b/crates/pinerill-calls/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of nodes and control machines, read from a TOML file.
 //!
-//! A process reads the file at its start and rejects unknown fields and invalid values.
+//! Unknown fields and invalid values are rejected, so that a mistyped setting is never ignored.
 
 mod control;
 mod node;
--- a/crates/pinerill-calls/src/settings/control.rs
+++ b/crates/pinerill-calls/src/settings/control.rs
@@ -19,7 +19,7 @@
     pub name: String,
     /// Zone in which the machine runs.
     pub zone: String,
-    /// Listen address for connections of other nodes and control machines.
+    /// Listen address for connections of nodes and other control machines.
     pub listen: SocketAddr,
     /// Address to which other processes connect if a proxy forwards connections to `listen`.
     /// `None` means that they connect to `listen`.
--- a/crates/pinerill-calls/src/table/tenant.rs
+++ b/crates/pinerill-calls/src/table/tenant.rs
@@ -16,7 +16,7 @@
 pub struct Tenant {
     /// Name of the tenant, unique in the table. Workers receive it in a request header.
     pub name: String,
-    /// Hashes of the tenant's keys; the keys themselves are not stored.
+    /// Hashes of the tenant's keys. The table does not contain the keys themselves.
     pub keys: Vec<KeyHash>,
     /// Priority of the tenant's calls, where 0 is the most urgent. It takes precedence over the
     /// rank of a route; `None` leaves the route's rank in effect.
