--- a/crates/pinerill-forward/src/batch/item.rs
+++ b/crates/pinerill-forward/src/batch/item.rs
@@ -19,7 +19,7 @@
 use super::runs::Run;
 use crate::crash::Run as WorkerRun;
 use crate::exchange::{BreakReason, EventScanner, Exchange, StartedAnswer};
-use crate::fleet::Wanted;
+use crate::fleet::PlacementRequest;
 use crate::node::{Node, Occupied};
 
 /// Pause before an item that could not begin is given back.
@@ -212,7 +212,7 @@
     let began = BootTime::now();
     while running.last.is_some() || began.elapsed() < PLACE_TIME {
         if held.is_renewed() && !node.calls_wait() {
-            let wanted = Wanted {
+            let wanted = PlacementRequest {
                 service: &running.service,
                 prompt: &running.prompt,
                 except: &running.avoid,
--- a/crates/pinerill-forward/src/batch/running.rs
+++ b/crates/pinerill-forward/src/batch/running.rs
@@ -76,7 +76,7 @@
         homes: table.homes_of(route, tenant),
         identity: Arc::new(identity),
         service,
-        prompt: Prompt::of_call(&node.caller_protocol.item_head(&call.headers)),
+        prompt: Prompt::from_call(&node.caller_protocol.item_head(&call.headers)),
         request: WorkerRequest {
             method: Method::POST,
             uri,
--- a/crates/pinerill-forward/src/call/record.rs
+++ b/crates/pinerill-forward/src/call/record.rs
@@ -8,7 +8,7 @@
 use pinerill_process::clock::BootTime;
 
 use super::Call;
-use crate::fleet::Chosen;
+use crate::fleet::ChosenWorker;
 use crate::node::Node;
 
 /// How a call ended, for its log line and metrics.
@@ -98,7 +98,7 @@
     }
 
     /// Records the start of an attempt at the chosen worker.
-    pub fn begin_attempt(&mut self, chosen: &Chosen) {
+    pub fn begin_attempt(&mut self, chosen: &ChosenWorker) {
         if !self.attempts.is_empty() {
             self.attempts.push_str("; ");
         }
--- a/crates/pinerill-forward/src/cluster/watch.rs
+++ b/crates/pinerill-forward/src/cluster/watch.rs
@@ -24,7 +24,7 @@
 
 use super::list_pace::{first_undated_pause, pause_after_failures, reading_pause, undated_pause};
 use crate::crash::broken_runs::CrashEvidence;
-use crate::fleet::GoneWorker;
+use crate::fleet::RemovedWorker;
 use crate::node::Node;
 
 /// How long the leader may hold an answer.
@@ -241,7 +241,7 @@
 fn take_evacuations(node: &Node, evacuations: Evacuations) {
     let revision = evacuations.revision();
     let zones: Vec<String> = evacuations.zones().map(str::to_owned).collect();
-    let taken = node.with_fleet(|fleet, now_ms| fleet.take_evacuations(now_ms, evacuations));
+    let taken = node.with_fleet(|fleet, now_ms| fleet.apply_evacuations(now_ms, evacuations));
     if taken {
         log::info!(event = "evacuations_in_force", revision, zones:? = zones; "");
         node.slow_starts.notify_cold_workers();
@@ -267,7 +267,7 @@
 
 /// Takes in a directory that the leader told.
 fn take_workers(node: &Node, workers: &[WorkerEntry]) {
-    let gone = node.with_fleet(|fleet, now_ms| fleet.take_directory(now_ms, workers));
+    let gone = node.with_fleet(|fleet, now_ms| fleet.apply_directory(now_ms, workers));
     note_workers(node, workers, &gone, "control");
 }
 
@@ -287,7 +287,7 @@
     let directory = Directory::new(workers_in_cell(node, reading.workers));
     let began_ms = node.ms_at(began) as i64;
     let taken =
-        node.with_fleet(|fleet, now_ms| fleet.take_reading(now_ms, began_ms, directory.workers()));
+        node.with_fleet(|fleet, now_ms| fleet.apply_listing(now_ms, began_ms, directory.workers()));
     match taken {
         Some(gone) => {
             note_workers(node, directory.workers(), &gone, "list");
@@ -300,7 +300,7 @@
 }
 
 /// Acts on workers that are gone, and says what was taken in.
-fn note_workers(node: &Node, workers: &[WorkerEntry], gone: &[GoneWorker], source: &str) {
+fn note_workers(node: &Node, workers: &[WorkerEntry], gone: &[RemovedWorker], source: &str) {
     node.slow_starts.notify_cold_workers();
     node.connections().cancel_superseded_exchanges(workers);
     for worker in gone {
--- a/crates/pinerill-forward/src/confirmation.rs
+++ b/crates/pinerill-forward/src/confirmation.rs
@@ -1,7 +1,7 @@
 //! Confirms, right before something is sent to a worker, that the worker is not about to leave.
 //!
 //! Usually the last reading of the platform list or an answer of the worker itself confirms this.
-//! If both are too old ([`crate::fleet::Standing`]), the worker's health is checked first. Nothing
+//! If both are too old ([`crate::fleet::Eligibility`]), the worker's health is checked first. Nothing
 //! is sent to a worker that does not answer the health check or does not report itself healthy.
 
 use std::collections::HashMap;
@@ -16,7 +16,7 @@
 use tokio::time::timeout;
 
 use crate::exchange::{check_health, BreakReason};
-use crate::fleet::{SlowStartPermit, Standing};
+use crate::fleet::{Eligibility, SlowStartPermit};
 use crate::node::Node;
 
 /// Timeout of a health check. The health check waits for a slot at the worker like a request; the
@@ -54,15 +54,15 @@
         worker: &Arc<WorkerEntry>,
         permit: Option<SlowStartPermit>,
     ) -> Result<(), BreakReason> {
-        if self.standing(worker) != Standing::Unconfirmed {
+        if self.standing(worker) != Eligibility::Unconfirmed {
             return self.may_send(worker, permit);
         }
         let lock = self.health_checks.lock_for(&worker.id);
         let asked = timeout(HEALTH_CHECK_TIMEOUT, async {
             let _guard = lock.lock().await;
             match self.standing(worker) {
-                Standing::Unconfirmed => self.check_health_of(worker).await,
-                Standing::Confirmed | Standing::Leaving | Standing::Evacuated => Ok(()),
+                Eligibility::Unconfirmed => self.check_health_of(worker).await,
+                Eligibility::Confirmed | Eligibility::Leaving | Eligibility::Evacuated => Ok(()),
             }
         });
         let asked = asked.await;
@@ -84,13 +84,13 @@
         let is_permitted =
             self.with_fleet(|fleet, now_ms| fleet.is_permitted(now_ms, &worker.id, permit));
         match self.standing(worker) {
-            Standing::Confirmed if !is_permitted => Err(BreakReason::Cold),
-            Standing::Confirmed => Ok(()),
-            Standing::Evacuated => Err(BreakReason::Evacuated),
-            Standing::Unconfirmed => {
+            Eligibility::Confirmed if !is_permitted => Err(BreakReason::Cold),
+            Eligibility::Confirmed => Ok(()),
+            Eligibility::Evacuated => Err(BreakReason::Evacuated),
+            Eligibility::Unconfirmed => {
                 Err(BreakReason::Unconfirmed("what is known of it is too old"))
             }
-            Standing::Leaving => Err(BreakReason::Leaving),
+            Eligibility::Leaving => Err(BreakReason::Leaving),
         }
     }
 
@@ -108,8 +108,8 @@
         }
     }
 
-    fn standing(&self, worker: &WorkerEntry) -> Standing {
-        self.with_fleet(|fleet, now_ms| fleet.standing(now_ms, &worker.id))
+    fn standing(&self, worker: &WorkerEntry) -> Eligibility {
+        self.with_fleet(|fleet, now_ms| fleet.eligibility(now_ms, &worker.id))
     }
 
     async fn check_health_of(&self, worker: &Arc<WorkerEntry>) -> Result<(), BreakReason> {
@@ -128,7 +128,9 @@
         );
         let answer = asked?;
         if let Some(cold_left_ms) = answer.cold_left_ms {
-            self.with_fleet(|fleet, now_ms| fleet.take_cold(now_ms, &worker.id, cold_left_ms));
+            self.with_fleet(|fleet, now_ms| {
+                fleet.extend_cold_period(now_ms, &worker.id, cold_left_ms)
+            });
         }
         if !healthy {
             return Err(BreakReason::Unconfirmed("it is not healthy, or leaving"));
--- a/crates/pinerill-forward/src/dispatch/claims.rs
+++ b/crates/pinerill-forward/src/dispatch/claims.rs
@@ -47,7 +47,7 @@
 /// Returns the sort key of a node in a worker's claim order; the lowest key claims first. The
 /// probability of being first is proportional to the number of calls that wait at the node.
 fn claim_key(contender: Contender, worker: WorkerKey) -> f64 {
-    let hash = worker.mixed_with(contender.node);
+    let hash = worker.hash_with_node(contender.node);
     let uniform = (hash as f64 + 1.0) / (u64::MAX as f64 + 2.0);
     -uniform.ln() / f64::from(contender.waiting.max(1))
 }
--- a/crates/pinerill-forward/src/dispatch/mod.rs
+++ b/crates/pinerill-forward/src/dispatch/mod.rs
@@ -33,7 +33,7 @@
 use self::queue::{Ticket, WaitingCall, WaitingQueue};
 use self::times::CallTimes;
 use crate::call::Call;
-use crate::fleet::{Chosen, Placement, Prompt, Wanted, WorkerKey};
+use crate::fleet::{ChosenWorker, Placement, PlacementRequest, Prompt, WorkerKey};
 use crate::node::{Node, Occupied};
 
 /// Interval between two scans of the queue without a notification. Estimates of other nodes' load
@@ -51,7 +51,7 @@
 /// A worker chosen for a call, and the slot occupied there.
 pub struct Placed {
     /// The worker and the basis of the choice.
-    pub chosen: Chosen,
+    pub chosen: ChosenWorker,
     /// The occupied slot; released when dropped.
     pub place: Occupied,
 }
@@ -80,8 +80,8 @@
 }
 
 impl Waiter {
-    fn wanted(&self) -> Wanted<'_> {
-        Wanted {
+    fn wanted(&self) -> PlacementRequest<'_> {
+        PlacementRequest {
             service: &self.service,
             prompt: &self.prompt,
             except: &self.except,
@@ -151,7 +151,7 @@
     ) -> Result<Placed, Unplaced> {
         node.slow_starts.record_call();
         if self.waiting() == 0 {
-            let wanted = Wanted {
+            let wanted = PlacementRequest {
                 service: &call.service,
                 prompt: &call.prompt,
                 except,
@@ -159,7 +159,7 @@
                 homes: &call.homes,
             };
             match self.find_slot(node, 1, &wanted) {
-                Placement::Room(chosen) => return Ok(occupy_slot(node, chosen, &call.prompt)),
+                Placement::Available(chosen) => return Ok(occupy_slot(node, chosen, &call.prompt)),
                 Placement::NoWorker => return Err(Unplaced::NoWorker),
                 Placement::Full => {}
             }
@@ -204,7 +204,7 @@
     /// Finds a worker with a free slot that this node may claim. At most once per
     /// `EXPLORATION_INTERVAL_MS`, a call that finds no slot in its zone may go to a worker of
     /// another zone whose load is unknown.
-    fn find_slot(&self, node: &Node, waiting: usize, wanted: &Wanted<'_>) -> Placement {
+    fn find_slot(&self, node: &Node, waiting: usize, wanted: &PlacementRequest<'_>) -> Placement {
         let service = wanted.service;
         let now_ms = node.now_ms();
         let explored_ms = self.explored_ms.load(Ordering::Relaxed);
@@ -220,8 +220,8 @@
             claims.may_claim(now_ms, worker, free, ahead)
         };
         let found = node.with_fleet(|fleet, _| fleet.place(now_ms, wanted, may_explore, may_claim));
-        if let Placement::Room(chosen) = &found {
-            claims.record_claim(WorkerKey::of(&chosen.entry.id));
+        if let Placement::Available(chosen) = &found {
+            claims.record_claim(WorkerKey::from_id(&chosen.entry.id));
             if may_explore && !chosen.basis.near {
                 self.explored_ms.store(now_ms, Ordering::Relaxed);
             }
@@ -292,7 +292,7 @@
 
     /// Removes the first call that can be assigned now from the queue. The choice is `None` if its
     /// service has no usable worker left. Returns `None` if none of the first calls finds a slot.
-    fn dequeue_placeable(&self, node: &Node) -> Option<(Waiter, Option<Chosen>)> {
+    fn dequeue_placeable(&self, node: &Node) -> Option<(Waiter, Option<ChosenWorker>)> {
         let now_ms = node.now_ms();
         let mut state = self.state.lock();
         for ticket in state.queue.head(now_ms, MAX_SCANNED_CALLS) {
@@ -303,7 +303,7 @@
             let found = self.find_slot(node, state.queue.len(), &waiter.wanted());
             let chosen = match found {
                 Placement::Full => continue,
-                Placement::Room(chosen) => Some(chosen),
+                Placement::Available(chosen) => Some(chosen),
                 Placement::NoWorker => None,
             };
             state.queue.remove(ticket);
@@ -350,7 +350,7 @@
     !call.route.kind.may_repeat()
 }
 
-fn occupy_slot(node: &Arc<Node>, chosen: Chosen, prompt: &Prompt) -> Placed {
+fn occupy_slot(node: &Arc<Node>, chosen: ChosenWorker, prompt: &Prompt) -> Placed {
     Placed {
         place: node.occupy(&chosen, prompt),
         chosen,
--- a/crates/pinerill-forward/src/dispatch/zone.rs
+++ b/crates/pinerill-forward/src/dispatch/zone.rs
@@ -10,7 +10,7 @@
 
 use super::demand::ServiceDemand;
 use super::{occupy_slot, Dispatcher, Waiter, MAX_SCANNED_CALLS};
-use crate::fleet::{Chosen, WorkerKey};
+use crate::fleet::{ChosenWorker, WorkerKey};
 use crate::node::Node;
 use crate::peers::promise_time;
 
@@ -87,7 +87,7 @@
         if has_free_slot.is_none() {
             return false;
         }
-        self.grant_promised_slot(node, WorkerKey::of(worker))
+        self.grant_promised_slot(node, WorkerKey::from_id(worker))
     }
 
     /// Promises a slot that has just become free to another node with waiting calls, unless calls
@@ -105,7 +105,7 @@
                 .peer_demand
                 .lock()
                 .promise_slot(now_ms, &service, rand::random())?;
-            Some((peer, fleet.promise(now_ms, worker, until_ms)?))
+            Some((peer, fleet.promise_slot(now_ms, worker, until_ms)?))
         });
         let Some((peer, key)) = promised else {
             return false;
@@ -127,7 +127,7 @@
         true
     }
 
-    fn dequeue_for_promise(&self, node: &Node, key: WorkerKey) -> Option<(Waiter, Chosen)> {
+    fn dequeue_for_promise(&self, node: &Node, key: WorkerKey) -> Option<(Waiter, ChosenWorker)> {
         let now_ms = node.now_ms();
         let mut state = self.state.lock();
         for ticket in state.queue.head(now_ms, MAX_SCANNED_CALLS) {
@@ -135,7 +135,7 @@
                 continue;
             };
             let wanted = waiter.wanted();
-            let chosen = node.with_fleet(|fleet, _| fleet.promised(now_ms, key, &wanted));
+            let chosen = node.with_fleet(|fleet, _| fleet.promised_worker(now_ms, key, &wanted));
             if let Some(chosen) = chosen {
                 state.queue.remove(ticket);
                 state.start_rate.record_start(now_ms);
--- a/crates/pinerill-forward/src/fleet/choice.rs
+++ b/crates/pinerill-forward/src/fleet/choice.rs
@@ -9,7 +9,7 @@
 use super::prefixes::Prompt;
 use super::suspicion;
 use super::worker::Worker;
-use super::{ChoiceBasis, Chosen, Fleet, WorkerKey};
+use super::{ChoiceBasis, ChosenWorker, Fleet, WorkerKey};
 
 /// What a full worker costs more than an idle one, milliseconds; it grows with the
 /// square of what is filled. A step takes hardly longer beside other requests, but
@@ -31,7 +31,7 @@
 
 /// What a worker is wanted for.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted<'a> {
+pub struct PlacementRequest<'a> {
     /// The service.
     pub service: &'a str,
     /// The prompt.
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone)]
 pub enum Placement {
     /// To this worker, which has room.
-    Room(Chosen),
+    Available(ChosenWorker),
     /// No worker that may be asked has room.
     Full,
     /// The service has no worker that may be asked.
@@ -89,7 +89,7 @@
     pub fn place(
         &self,
         now_ms: u64,
-        wanted: &Wanted<'_>,
+        wanted: &PlacementRequest<'_>,
         explores: bool,
         mut may_take: impl FnMut(WorkerKey, usize) -> bool,
     ) -> Placement {
@@ -131,11 +131,11 @@
         let mut scored: Vec<(f64, &Worker)> = scored.collect();
         scored.sort_by(|left, right| left.0.total_cmp(&right.0));
         let best = scored.into_iter().find(|(_, worker)| {
-            let key = WorkerKey::of(&worker.entry().id);
+            let key = WorkerKey::from_id(&worker.entry().id);
             may_take(key, worker.free_places(now_ms))
         });
         match best {
-            Some((_, best)) => Placement::Room(self.chosen(now_ms, best, wanted.prompt)),
+            Some((_, best)) => Placement::Available(self.chosen(now_ms, best, wanted.prompt)),
             None => Placement::Full,
         }
     }
@@ -143,7 +143,11 @@
     /// The worker for an item of a job: the emptiest in reach that has room
     /// beside callers' calls. Other zones are in reach while this one has no sound
     /// worker; items can wait, and nothing is known of the load there.
-    pub fn choose_for_item(&self, now_ms: u64, wanted: &Wanted<'_>) -> Option<Chosen> {
+    pub fn choose_for_item(
+        &self,
+        now_ms: u64,
+        wanted: &PlacementRequest<'_>,
+    ) -> Option<ChosenWorker> {
         let share = self.settings.batch_share;
         let asked = self.asked(wanted);
         let credible = is_hearsay_credible(now_ms, &asked);
@@ -208,7 +212,7 @@
     }
 
     /// Workers that may be asked at all.
-    fn asked(&self, wanted: &Wanted<'_>) -> Vec<&Worker> {
+    fn asked(&self, wanted: &PlacementRequest<'_>) -> Vec<&Worker> {
         let candidates = self.candidates(wanted.service);
         candidates
             .filter(|worker| !wanted.except.contains(&worker.entry().id))
@@ -222,8 +226,8 @@
         homes.allow(region.map(String::as_str))
     }
 
-    pub(super) fn chosen(&self, now_ms: u64, worker: &Worker, prompt: &Prompt) -> Chosen {
-        Chosen {
+    pub(super) fn chosen(&self, now_ms: u64, worker: &Worker, prompt: &Prompt) -> ChosenWorker {
+        ChosenWorker {
             entry: worker.entry().clone(),
             prefill_ms: self.prefill_ms(worker, prompt, false),
             basis: ChoiceBasis {
@@ -278,7 +282,7 @@
 
     /// The worker of this zone to which all its nodes send calls with the same
     /// shared prefix, if nothing else counts (rendezvous hashing).
-    fn meeting_point(&self, wanted: &Wanted<'_>) -> Option<&str> {
+    fn meeting_point(&self, wanted: &PlacementRequest<'_>) -> Option<&str> {
         let shared = wanted.prompt.shared()?;
         let near = self
             .candidates(wanted.service)
--- a/crates/pinerill-forward/src/fleet/mod.rs
+++ b/crates/pinerill-forward/src/fleet/mod.rs
@@ -27,9 +27,9 @@
 use self::notice::ConfirmationLease;
 use self::peers::PeerBook;
 
-pub use choice::{BatchCapacity, Placement, Wanted};
-pub use notice::Standing;
-pub use peers::{TellingOrder, WorkerCount, WorkerKey};
+pub use choice::{BatchCapacity, Placement, PlacementRequest};
+pub use notice::Eligibility;
+pub use peers::{ReportOrder, WorkerCount, WorkerKey};
 pub use prefixes::{PrefixMemory, Prompt};
 pub use slow_start::SlowStartPermit;
 pub use worker::Worker;
@@ -81,7 +81,7 @@
 
 /// A worker that the directory names no more.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct GoneWorker {
+pub struct RemovedWorker {
     /// Its last entry.
     pub entry: Arc<WorkerEntry>,
     /// It has started again since, so that its process has ended for certain.
@@ -116,7 +116,7 @@
     /// one that was seen leaving stays so. Of a worker that has started again only the
     /// newest start that was ever listed counts, and nothing that was known of it before.
     /// Returns the workers that are gone.
-    pub fn take_directory(&mut self, now_ms: u64, entries: &[WorkerEntry]) -> Vec<GoneWorker> {
+    pub fn apply_directory(&mut self, now_ms: u64, entries: &[WorkerEntry]) -> Vec<RemovedWorker> {
         let mut earlier = std::mem::take(&mut self.workers);
         self.by_service.clear();
         self.by_key.clear();
@@ -134,13 +134,13 @@
             };
             self.workers.insert(entry.id.clone(), worker);
             self.by_key
-                .insert(WorkerKey::of(&entry.id), entry.id.clone());
+                .insert(WorkerKey::from_id(&entry.id), entry.id.clone());
             let service = self.by_service.entry(entry.service.clone());
             service.or_default().push(entry.id.clone());
         }
         self.recount_peers();
         let gone = earlier.into_values();
-        gone.map(|worker| GoneWorker {
+        gone.map(|worker| RemovedWorker {
             is_restarted: self.births.has_newer(&worker.entry().id),
             entry: worker.entry().clone(),
         })
@@ -151,16 +151,16 @@
     /// its clock. None, and nothing is taken, if the directory shows the list as of a later
     /// moment: a reading of many slow pages may end behind the leader's news, and would bring
     /// back a worker that is gone as one that stays.
-    pub fn take_reading(
+    pub fn apply_listing(
         &mut self,
         now_ms: u64,
         began_ms: i64,
         entries: &[WorkerEntry],
-    ) -> Option<Vec<GoneWorker>> {
+    ) -> Option<Vec<RemovedWorker>> {
         if self.listed_ms >= Some(began_ms) {
             return None;
         }
-        let gone = self.take_directory(now_ms, entries);
+        let gone = self.apply_directory(now_ms, entries);
         self.confirm_directory(began_ms);
         Some(gone)
     }
@@ -183,15 +183,15 @@
     }
 
     /// Whether a worker may be sent something new now.
-    pub fn standing(&self, now_ms: u64, id: &str) -> Standing {
+    pub fn eligibility(&self, now_ms: u64, id: &str) -> Eligibility {
         let Some(worker) = self.workers.get(id) else {
-            return Standing::Leaving;
+            return Eligibility::Leaving;
         };
         if worker.entry().state == WorkerState::Draining {
-            return Standing::Leaving;
+            return Eligibility::Leaving;
         }
         if self.is_evacuated(&worker.entry().zone) {
-            return Standing::Evacuated;
+            return Eligibility::Evacuated;
         }
         let lease = ConfirmationLease::new(self.settings.leave_notice_ms);
         match lease.holds(
@@ -199,8 +199,8 @@
             self.listed_ms
                 .max(worker.confirmed_ms().map(|ms| ms as i64)),
         ) {
-            true => Standing::Confirmed,
-            false => Standing::Unconfirmed,
+            true => Eligibility::Confirmed,
+            false => Eligibility::Unconfirmed,
         }
     }
 
@@ -216,7 +216,12 @@
 
     /// Notes that a request of this node is sent there, whose prompt takes
     /// some time to read. Returns the permit with which it goes, if one is held.
-    pub fn begin(&mut self, now_ms: u64, id: &str, prefill_ms: f64) -> Option<SlowStartPermit> {
+    pub fn begin_request(
+        &mut self,
+        now_ms: u64,
+        id: &str,
+        prefill_ms: f64,
+    ) -> Option<SlowStartPermit> {
         let worker = self.workers.get_mut(id)?;
         worker.in_flight += 1;
         worker.expect_prefill(now_ms, prefill_ms);
@@ -238,7 +243,7 @@
     }
 
     /// Notes that a request there has ended.
-    pub fn end(&mut self, id: &str) {
+    pub fn end_request(&mut self, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.in_flight = worker.in_flight.saturating_sub(1);
         }
@@ -246,7 +251,7 @@
 
     /// Promises a place at a worker of this zone to another node, if one is free there
     /// and the worker is sound. Until `until_ms` it counts as taken.
-    pub fn promise(&mut self, now_ms: u64, id: &str, until_ms: u64) -> Option<WorkerKey> {
+    pub fn promise_slot(&mut self, now_ms: u64, id: &str, until_ms: u64) -> Option<WorkerKey> {
         let known = self.workers.get(id)?;
         let is_spared = self.needs_permit(now_ms, known) || self.is_evacuated(&known.entry().zone);
         let zone = &self.zone;
@@ -257,14 +262,19 @@
             && !worker.is_avoided(now_ms)
             && worker.has_room(now_ms, 0.0);
         serves.then(|| {
-            worker.promise(now_ms, until_ms);
-            WorkerKey::of(id)
+            worker.promise_slot(now_ms, until_ms);
+            WorkerKey::from_id(id)
         })
     }
 
     /// The worker of a place that was promised or handed over, if the call may go there: one
     /// that runs once only if the worker is proven.
-    pub fn promised(&self, now_ms: u64, key: WorkerKey, wanted: &Wanted<'_>) -> Option<Chosen> {
+    pub fn promised_worker(
+        &self,
+        now_ms: u64,
+        key: WorkerKey,
+        wanted: &PlacementRequest<'_>,
+    ) -> Option<ChosenWorker> {
         let worker = self.workers.get(self.by_key.get(&key)?)?;
         let entry = worker.entry();
         let fits = entry.service == wanted.service && !wanted.except.contains(&entry.id);
@@ -283,30 +293,30 @@
     }
 
     /// Takes in a load sample of an answer.
-    pub fn take_load(&mut self, now_ms: u64, id: &str, sample: LoadSample) {
+    pub fn record_load(&mut self, now_ms: u64, id: &str, sample: LoadSample) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.take_load(now_ms, sample);
+            worker.record_load(now_ms, sample);
         }
     }
 
     /// Notes that a worker answered as it should.
-    pub fn succeeded(&mut self, now_ms: u64, id: &str) {
+    pub fn record_success(&mut self, now_ms: u64, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
             let service = &worker.entry().service;
             let cold_ms = self.slow_starts.get(service).map(|one| one.duration_ms);
-            worker.succeeded(now_ms, cold_ms.unwrap_or(0));
+            worker.record_success(now_ms, cold_ms.unwrap_or(0));
         }
     }
 
     /// Notes that a worker could not be reached, broke off or was silent.
-    pub fn failed(&mut self, now_ms: u64, id: &str) {
+    pub fn record_failure(&mut self, now_ms: u64, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.failed(now_ms);
+            worker.record_failure(now_ms);
         }
     }
 
     /// Another node got no answer of a worker.
-    pub fn suspect(&mut self, now_ms: u64, node: SocketAddr, key: WorkerKey) {
+    pub fn record_suspicion(&mut self, now_ms: u64, node: SocketAddr, key: WorkerKey) {
         let id = self.by_key.get(&key);
         if let Some(worker) = id.and_then(|id| self.workers.get_mut(id)) {
             worker.suspicion.said(now_ms, node);
@@ -314,22 +324,22 @@
     }
 
     /// A worker ended a connection on which it had a request of another node.
-    pub fn broke_for_others(&mut self, now_ms: u64, key: WorkerKey) {
+    pub fn record_peer_connection_loss(&mut self, now_ms: u64, key: WorkerKey) {
         let id = self.by_key.get(&key);
         if let Some(worker) = id.and_then(|id| self.workers.get_mut(id)) {
-            worker.broke_for_others(now_ms);
+            worker.record_peer_connection_loss(now_ms);
         }
     }
 
     /// Notes that a worker had no room.
-    pub fn was_full(&mut self, now_ms: u64, id: &str) {
+    pub fn mark_full(&mut self, now_ms: u64, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.was_full(now_ms);
+            worker.mark_full(now_ms);
         }
     }
 
     /// Notes that another worker answers at this one's address.
-    pub fn was_replaced(&mut self, id: &str) {
+    pub fn mark_replaced(&mut self, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.leave();
         }
@@ -353,7 +363,7 @@
 
 /// A chosen worker.
 #[derive(Debug, Clone)]
-pub struct Chosen {
+pub struct ChosenWorker {
     /// The worker.
     pub entry: Arc<WorkerEntry>,
     /// Time that reading the prompt is expected to take there, milliseconds.
--- a/crates/pinerill-forward/src/fleet/notice.rs
+++ b/crates/pinerill-forward/src/fleet/notice.rs
@@ -35,7 +35,7 @@
 
 /// Whether a worker may be sent something new.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Eligibility {
     /// It was known to stay a short while ago.
     Confirmed,
     /// What is known of it is too old: its health must be checked first.
--- a/crates/pinerill-forward/src/fleet/peers.rs
+++ b/crates/pinerill-forward/src/fleet/peers.rs
@@ -39,7 +39,7 @@
 
 impl WorkerKey {
     /// The key of a worker's identifier, the same at every node.
-    pub fn of(worker: &str) -> Self {
+    pub fn from_id(worker: &str) -> Self {
         let hash = worker.bytes().fold(FNV_OFFSET, |hash, byte| {
             (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME)
         });
@@ -47,7 +47,7 @@
     }
 
     /// A number drawn by worker and node, the same at every node.
-    pub fn mixed_with(self, node: SocketAddr) -> u64 {
+    pub fn hash_with_node(self, node: SocketAddr) -> u64 {
         let name = node.to_string();
         let hash = name.bytes().fold(FNV_OFFSET_64, |hash, byte| {
             (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME_64)
@@ -67,17 +67,17 @@
 
 /// Which of two messages of a teller is the newer one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TellingOrder {
+pub struct ReportOrder {
     /// Number drawn at the teller's start.
     pub start: u64,
     /// Grows with each message of that start.
     pub sequence: u64,
 }
 
-impl TellingOrder {
+impl ReportOrder {
     /// Whether this one comes after a message that was taken in before. Another
     /// start of the teller always does.
-    fn follows(self, earlier: TellingOrder) -> bool {
+    fn follows(self, earlier: ReportOrder) -> bool {
         self.start != earlier.start || self.sequence > earlier.sequence
     }
 }
@@ -99,7 +99,7 @@
 
 #[derive(Debug)]
 struct Told {
-    order: TellingOrder,
+    order: ReportOrder,
     at_ms: u64,
     counts: Vec<WorkerCount>,
 }
@@ -113,21 +113,23 @@
 impl Fleet {
     /// Requests of this node and places that it promised, by worker.
     pub fn in_flight(&self, now_ms: u64) -> Vec<WorkerCount> {
-        self.counts(|worker| worker.in_flight + worker.promised(now_ms))
+        self.counts(|worker| worker.in_flight + worker.promised_slots(now_ms))
     }
 
     /// The same of all nodes of this zone.
     pub fn zone_in_flight(&self, now_ms: u64) -> Vec<WorkerCount> {
-        self.counts(|worker| worker.in_flight + worker.promised(now_ms) + worker.peers_in_flight)
+        self.counts(|worker| {
+            worker.in_flight + worker.promised_slots(now_ms) + worker.peers_in_flight
+        })
     }
 
     /// Whether other zones should hear of each change in this one: half of its places or more
     /// are taken, or its requests run elsewhere too.
-    pub fn zone_has_little_room(&self, now_ms: u64) -> bool {
+    pub fn needs_immediate_zone_reports(&self, now_ms: u64) -> bool {
         let mut taken = 0.0;
         let mut places = 0.0;
         for worker in self.workers.values() {
-            let here = worker.in_flight + worker.promised(now_ms) + worker.peers_in_flight;
+            let here = worker.in_flight + worker.promised_slots(now_ms) + worker.peers_in_flight;
             if worker.entry().zone != self.zone {
                 if here > 0 {
                     return true;
@@ -144,7 +146,7 @@
 
     fn counts(&self, requests: impl Fn(&super::Worker) -> u32) -> Vec<WorkerCount> {
         let counts = self.workers.iter().map(|(id, worker)| WorkerCount {
-            worker: WorkerKey::of(id),
+            worker: WorkerKey::from_id(id),
             requests: requests(worker),
         });
         counts.filter(|count| count.requests > 0).collect()
@@ -152,11 +154,11 @@
 
     /// Takes in what a node of this zone has in flight; false if something newer came
     /// before.
-    pub fn take_peer(
+    pub fn record_peer_counts(
         &mut self,
         now_ms: u64,
         peer: SocketAddr,
-        order: TellingOrder,
+        order: ReportOrder,
         counts: Vec<WorkerCount>,
     ) -> bool {
         self.take_counts(now_ms, Teller::Node(peer), order, counts)
@@ -164,11 +166,11 @@
 
     /// Takes in what all nodes of another zone have in flight; false if something newer
     /// came before.
-    pub fn take_zone(
+    pub fn record_zone_counts(
         &mut self,
         now_ms: u64,
         zone: &str,
-        order: TellingOrder,
+        order: ReportOrder,
         counts: Vec<WorkerCount>,
     ) -> bool {
         self.take_counts(now_ms, Teller::Zone(zone.to_owned()), order, counts)
@@ -178,7 +180,7 @@
         &mut self,
         now_ms: u64,
         teller: Teller,
-        order: TellingOrder,
+        order: ReportOrder,
         counts: Vec<WorkerCount>,
     ) -> bool {
         let earlier = self.peers.told.get(&teller);
--- a/crates/pinerill-forward/src/fleet/prefixes.rs
+++ b/crates/pinerill-forward/src/fleet/prefixes.rs
@@ -25,7 +25,7 @@
 
 impl Prompt {
     /// The prompt that a call's head tells.
-    pub fn of_call(call: &CallHead) -> Self {
+    pub fn from_call(call: &CallHead) -> Self {
         let mut hasher = DefaultHasher::new();
         call.model.hash(&mut hasher);
         let mut tokens = 0;
--- a/crates/pinerill-forward/src/fleet/slow_start.rs
+++ b/crates/pinerill-forward/src/fleet/slow_start.rs
@@ -22,7 +22,7 @@
 impl SlowStartPermit {
     /// A permit that was asked for at a moment. The lender allows for requests that begin so
     /// much later.
-    pub fn asked_at(asked_ms: u64) -> Self {
+    pub fn requested_at(asked_ms: u64) -> Self {
         SlowStartPermit {
             until_ms: asked_ms + LONGEST_WAIT_MS,
         }
@@ -36,7 +36,7 @@
 
 impl Fleet {
     /// Takes in how cold workers of each service are spared.
-    pub fn take_slow_starts(&mut self, table: &RouteTable) {
+    pub fn apply_slow_starts(&mut self, table: &RouteTable) {
         let services = table.services.iter();
         self.slow_starts = services
             .filter_map(|service| Some((service.name.clone(), service.slow_start?)))
@@ -44,16 +44,16 @@
     }
 
     /// A worker said for how long it is still cold.
-    pub fn take_cold(&mut self, now_ms: u64, id: &str, cold_left_ms: u64) {
+    pub fn extend_cold_period(&mut self, now_ms: u64, id: &str, cold_left_ms: u64) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.stays_cold(now_ms, cold_left_ms);
+            worker.extend_cold_period(now_ms, cold_left_ms);
         }
     }
 
     /// Nothing listens at a worker's address.
-    pub fn was_gone(&mut self, id: &str) {
+    pub fn mark_not_listening(&mut self, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.was_gone();
+            worker.mark_not_listening();
         }
     }
 
@@ -102,10 +102,10 @@
     }
 
     /// Takes in permits that were asked for at a moment.
-    pub fn give_permits(&mut self, asked_ms: u64, workers: &[WorkerId]) {
+    pub fn add_permits(&mut self, asked_ms: u64, workers: &[WorkerId]) {
         for id in workers {
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.give_permit(SlowStartPermit::asked_at(asked_ms));
+                worker.set_permit(SlowStartPermit::requested_at(asked_ms));
             }
         }
     }
--- a/crates/pinerill-forward/src/fleet/worker.rs
+++ b/crates/pinerill-forward/src/fleet/worker.rs
@@ -103,7 +103,7 @@
 
     /// A worker that was seen leaving never comes back under its identifier.
     pub(super) fn take_entry(&mut self, now_ms: u64, entry: &WorkerEntry) {
-        self.stays_cold(now_ms, entry.cold_left_ms);
+        self.extend_cold_period(now_ms, entry.cold_left_ms);
         let leaving = self.entry.state == WorkerState::Draining;
         if *self.entry != *entry {
             self.entry = Arc::new(entry.clone());
@@ -142,7 +142,7 @@
         (self.reading_until_ms - now_ms as f64).max(0.0)
     }
 
-    pub(super) fn take_load(&mut self, now_ms: u64, sample: LoadSample) {
+    pub(super) fn record_load(&mut self, now_ms: u64, sample: LoadSample) {
         let all = sample.running + sample.waiting;
         self.others = Some(OthersSample {
             requests: all.saturating_sub(self.told_in_flight()),
@@ -151,7 +151,7 @@
     }
 
     /// It is cold for so long from now on, or longer if that was told before.
-    pub(super) fn stays_cold(&mut self, now_ms: u64, cold_ms: u64) {
+    pub(super) fn extend_cold_period(&mut self, now_ms: u64, cold_ms: u64) {
         let until_ms = now_ms.saturating_add(cold_ms);
         self.cold_until_ms = self.cold_until_ms.max(until_ms);
     }
@@ -162,11 +162,11 @@
     }
 
     /// Its process is gone. Where it is there again, it has started anew.
-    pub(super) fn was_gone(&mut self) {
+    pub(super) fn mark_not_listening(&mut self) {
         self.may_have_restarted = true;
     }
 
-    pub(super) fn give_permit(&mut self, permit: SlowStartPermit) {
+    pub(super) fn set_permit(&mut self, permit: SlowStartPermit) {
         self.permit = Some(permit);
     }
 
@@ -181,9 +181,9 @@
 
     /// It answered as it should. If it was gone before, it has started again: it is cold for
     /// `cold_ms` from now on.
-    pub(super) fn succeeded(&mut self, now_ms: u64, cold_ms: u64) {
+    pub(super) fn record_success(&mut self, now_ms: u64, cold_ms: u64) {
         if std::mem::take(&mut self.may_have_restarted) {
-            self.stays_cold(now_ms, cold_ms);
+            self.extend_cold_period(now_ms, cold_ms);
         }
         self.failures = 0;
         self.avoid_until_ms = 0;
@@ -191,13 +191,13 @@
     }
 
     /// Each failure in a row doubles the time for which it is avoided.
-    pub(super) fn failed(&mut self, now_ms: u64) {
+    pub(super) fn record_failure(&mut self, now_ms: u64) {
         let pause = AVOID_FIRST_MS << self.failures.min(8);
         self.failures += 1;
         self.avoid_until_ms = now_ms + pause.min(AVOID_LONGEST_MS);
     }
 
-    pub(super) fn broke_for_others(&mut self, now_ms: u64) {
+    pub(super) fn record_peer_connection_loss(&mut self, now_ms: u64) {
         self.broke_for_others_ms = Some(now_ms);
     }
 
@@ -210,14 +210,14 @@
         !failed && !heard && !self.suspicion.is_raised(now_ms)
     }
 
-    pub(super) fn was_full(&mut self, now_ms: u64) {
+    pub(super) fn mark_full(&mut self, now_ms: u64) {
         self.full_until_ms = now_ms + FULL_MS;
     }
 
     /// Requests there: those of this node, those that other nodes tell of, places that
     /// are promised, and those of others as far as still believed.
     pub(super) fn occupied(&self, now_ms: u64) -> f64 {
-        let known = self.told_in_flight() + self.promised(now_ms);
+        let known = self.told_in_flight() + self.promised_slots(now_ms);
         f64::from(known) + self.others_believed(now_ms)
     }
 
@@ -226,13 +226,13 @@
     }
 
     /// A place there is promised to another node.
-    pub(super) fn promise(&mut self, now_ms: u64, until_ms: u64) {
+    pub(super) fn promise_slot(&mut self, now_ms: u64, until_ms: u64) {
         self.promised_until_ms.retain(|until| *until > now_ms);
         self.promised_until_ms.push(until_ms);
     }
 
     /// Places there that are promised to other nodes.
-    pub(super) fn promised(&self, now_ms: u64) -> u32 {
+    pub(super) fn promised_slots(&self, now_ms: u64) -> u32 {
         let promised = self.promised_until_ms.iter();
         promised.filter(|until| **until > now_ms).count() as u32
     }
--- a/crates/pinerill-forward/src/gateway/request.rs
+++ b/crates/pinerill-forward/src/gateway/request.rs
@@ -213,7 +213,7 @@
         );
         Ok(Call {
             identity: Arc::new(identity),
-            prompt: Prompt::of_call(&self.call),
+            prompt: Prompt::from_call(&self.call),
             request: WorkerRequest {
                 method: head.method,
                 uri: head.uri,
--- a/crates/pinerill-forward/src/node.rs
+++ b/crates/pinerill-forward/src/node.rs
@@ -21,7 +21,7 @@
 use crate::crash::CrashDesk;
 use crate::dispatch::Dispatcher;
 use crate::exchange::{BreakReason, ConnectionPool};
-use crate::fleet::{BatchCapacity, Chosen, Fleet, Prompt, SlowStartPermit, Wanted};
+use crate::fleet::{BatchCapacity, ChosenWorker, Fleet, PlacementRequest, Prompt, SlowStartPermit};
 use crate::monitoring::{Beliefs, Metrics};
 use crate::peers::Peers;
 use crate::quota::NodeQuota;
@@ -214,7 +214,7 @@
             .as_ref()
             .is_none_or(|known| known.table().version < version);
         if newer {
-            self.with_fleet(|fleet, _| fleet.take_slow_starts(index.table()));
+            self.with_fleet(|fleet, _| fleet.apply_slow_starts(index.table()));
             *held = Some(Arc::new(index));
             self.table_taken.notify_waiters();
         }
@@ -228,7 +228,7 @@
     }
 
     /// The worker for an item of a job.
-    pub fn choose_for_item(&self, wanted: &Wanted<'_>) -> Option<Chosen> {
+    pub fn choose_for_item(&self, wanted: &PlacementRequest<'_>) -> Option<ChosenWorker> {
         self.with_fleet(|fleet, now_ms| fleet.choose_for_item(now_ms, wanted))
     }
 
@@ -243,11 +243,11 @@
     }
 
     /// Takes a place at a worker.
-    pub fn occupy(self: &Arc<Self>, chosen: &Chosen, prompt: &Prompt) -> Occupied {
+    pub fn occupy(self: &Arc<Self>, chosen: &ChosenWorker, prompt: &Prompt) -> Occupied {
         let worker = chosen.entry.id.clone();
         let permit = self.with_fleet(|fleet, now_ms| {
             fleet.remember_prompt(now_ms, &worker, prompt);
-            fleet.begin(now_ms, &worker, chosen.prefill_ms)
+            fleet.begin_request(now_ms, &worker, chosen.prefill_ms)
         });
         self.peers.tell_prompt(&worker, chosen.prefill_ms);
         self.peers.changed();
@@ -260,7 +260,7 @@
 
     /// Takes in a load sample of an answer.
     pub fn take_load(&self, worker: &str, load: LoadSample) {
-        self.with_fleet(|fleet, now_ms| fleet.take_load(now_ms, worker, load));
+        self.with_fleet(|fleet, now_ms| fleet.record_load(now_ms, worker, load));
     }
 
     /// Notes that a worker could not be reached, broke off or was silent.
@@ -271,7 +271,7 @@
         self.metrics.worker_failures.inc();
         if *reason == BreakReason::Refused {
             self.worker_is_gone(worker, CrashEvidence::Refused);
-            self.with_fleet(|fleet, _| fleet.was_gone(worker));
+            self.with_fleet(|fleet, _| fleet.mark_not_listening(worker));
         }
         if reason.is_unresponsive() {
             self.peers.tell_no_answer(worker);
@@ -279,13 +279,13 @@
         if reason.is_disconnect() {
             self.peers.tell_broke(worker);
         }
-        self.with_fleet(|fleet, now_ms| fleet.failed(now_ms, worker));
+        self.with_fleet(|fleet, now_ms| fleet.record_failure(now_ms, worker));
     }
 
     /// Notes that a worker had no room.
     pub fn worker_full(&self, worker: &str) {
         self.metrics.worker_refusals.inc();
-        self.with_fleet(|fleet, now_ms| fleet.was_full(now_ms, worker));
+        self.with_fleet(|fleet, now_ms| fleet.mark_full(now_ms, worker));
     }
 
     /// A worker's process is gone; whether it crashed depends on what it was doing.
@@ -300,7 +300,7 @@
     pub fn worker_replaced(&self, worker: &str) {
         log::info!(event = "worker_replaced", worker; "");
         self.worker_is_gone(worker, CrashEvidence::Replaced);
-        self.with_fleet(|fleet, _| fleet.was_replaced(worker));
+        self.with_fleet(|fleet, _| fleet.mark_replaced(worker));
     }
 }
 
@@ -325,13 +325,14 @@
     /// The worker answered as it should.
     pub fn succeeded(&self) {
         self.node
-            .with_fleet(|fleet, now_ms| fleet.succeeded(now_ms, &self.worker));
+            .with_fleet(|fleet, now_ms| fleet.record_success(now_ms, &self.worker));
     }
 }
 
 impl Drop for Occupied {
     fn drop(&mut self) {
-        self.node.with_fleet(|fleet, _| fleet.end(&self.worker));
+        self.node
+            .with_fleet(|fleet, _| fleet.end_request(&self.worker));
         let dispatcher = &self.node.dispatcher;
         let is_taken = dispatcher.grant_freed_slot(&self.node, &self.worker)
             || dispatcher.promise_freed_slot(&self.node, &self.worker);
--- a/crates/pinerill-forward/src/peers/hear.rs
+++ b/crates/pinerill-forward/src/peers/hear.rs
@@ -6,7 +6,7 @@
 use pinerill_calls::message::decode;
 
 use super::message::{PeerMessage, DATAGRAM_BYTES};
-use crate::fleet::{TellingOrder, WorkerCount};
+use crate::fleet::{ReportOrder, WorkerCount};
 use crate::node::Node;
 
 /// Takes in what the others tell until the node ends.
@@ -53,8 +53,8 @@
             counts,
             demand,
         } => {
-            let taken =
-                node.with_fleet(|fleet, now_ms| fleet.take_peer(now_ms, from, order, counts));
+            let taken = node
+                .with_fleet(|fleet, now_ms| fleet.record_peer_counts(now_ms, from, order, counts));
             if taken {
                 node.dispatcher
                     .record_peer_demand(node.now_ms(), from, demand);
@@ -68,10 +68,10 @@
             counts,
         } => take_zone(node, &zone, order, counts),
         PeerMessage::NoAnswer { worker } => {
-            node.with_fleet(|fleet, now_ms| fleet.suspect(now_ms, from, worker));
+            node.with_fleet(|fleet, now_ms| fleet.record_suspicion(now_ms, from, worker));
         }
         PeerMessage::Broke { worker } => {
-            node.with_fleet(|fleet, now_ms| fleet.broke_for_others(now_ms, worker));
+            node.with_fleet(|fleet, now_ms| fleet.record_peer_connection_loss(now_ms, worker));
         }
         // Taken in before, since it also comes from relays of other zones.
         PeerMessage::Crashes(_) => {}
@@ -82,11 +82,12 @@
     }
 }
 
-fn take_zone(node: &Arc<Node>, zone: &str, order: TellingOrder, counts: Vec<WorkerCount>) {
+fn take_zone(node: &Arc<Node>, zone: &str, order: ReportOrder, counts: Vec<WorkerCount>) {
     if zone == node.settings.zone {
         return;
     }
-    let taken = node.with_fleet(|fleet, now_ms| fleet.take_zone(now_ms, zone, order, counts));
+    let taken =
+        node.with_fleet(|fleet, now_ms| fleet.record_zone_counts(now_ms, zone, order, counts));
     if taken {
         look_again(node);
     }
--- a/crates/pinerill-forward/src/peers/message.rs
+++ b/crates/pinerill-forward/src/peers/message.rs
@@ -4,7 +4,7 @@
 
 use crate::crash::ledger::CrashReport;
 use crate::dispatch::demand::ServiceDemand;
-use crate::fleet::{TellingOrder, WorkerCount, WorkerKey};
+use crate::fleet::{ReportOrder, WorkerCount, WorkerKey};
 
 /// Longest datagram, bytes: one packet of the usual networks.
 pub(super) const DATAGRAM_BYTES: usize = 1_400;
@@ -25,7 +25,7 @@
     /// To nodes of the zone: all that the node has in flight and lacks.
     InFlight {
         /// Which message of the node it is.
-        order: TellingOrder,
+        order: ReportOrder,
         /// By worker.
         counts: Vec<WorkerCount>,
         /// By service.
@@ -35,7 +35,7 @@
     /// have in flight.
     ZoneInFlight {
         /// Which message of the relay it is.
-        order: TellingOrder,
+        order: ReportOrder,
         /// The zone.
         zone: String,
         /// By worker.
--- a/crates/pinerill-forward/src/peers/mod.rs
+++ b/crates/pinerill-forward/src/peers/mod.rs
@@ -125,7 +125,7 @@
             return;
         }
         self.send_near(&PeerMessage::PromptSent {
-            worker: WorkerKey::of(worker),
+            worker: WorkerKey::from_id(worker),
             prefill_ms,
         });
     }
@@ -133,14 +133,14 @@
     /// Tells the others that a worker did not answer.
     pub(crate) fn tell_no_answer(&self, worker: &str) {
         self.send_near(&PeerMessage::NoAnswer {
-            worker: WorkerKey::of(worker),
+            worker: WorkerKey::from_id(worker),
         });
     }
 
     /// Tells the others that a worker ended a connection on which it had a request.
     pub(crate) fn tell_broke(&self, worker: &str) {
         self.send_near(&PeerMessage::Broke {
-            worker: WorkerKey::of(worker),
+            worker: WorkerKey::from_id(worker),
         });
     }
 
--- a/crates/pinerill-forward/src/peers/tell.rs
+++ b/crates/pinerill-forward/src/peers/tell.rs
@@ -8,7 +8,7 @@
 
 use super::message::{PeerMessage, COUNTS_TOLD};
 use super::Peers;
-use crate::fleet::{TellingOrder, WorkerCount};
+use crate::fleet::{ReportOrder, WorkerCount};
 use crate::node::Node;
 
 /// Shortest pause between two tellings, for each node of the zone that is told: the more
@@ -49,17 +49,17 @@
 }
 
 /// Names the messages of one task of this node.
-struct Sequence(TellingOrder);
+struct Sequence(ReportOrder);
 
 impl Sequence {
     fn new() -> Self {
-        Sequence(TellingOrder {
+        Sequence(ReportOrder {
             start: rand::random(),
             sequence: 0,
         })
     }
 
-    fn next(&mut self) -> TellingOrder {
+    fn next(&mut self) -> ReportOrder {
         self.0.sequence += 1;
         self.0
     }
@@ -121,7 +121,7 @@
         .await
         .is_ok()
     {
-        if node.with_fleet(|fleet, now_ms| fleet.zone_has_little_room(now_ms)) {
+        if node.with_fleet(|fleet, now_ms| fleet.needs_immediate_zone_reports(now_ms)) {
             return;
         }
     }
--- a/crates/pinerill-forward/src/slow_start.rs
+++ b/crates/pinerill-forward/src/slow_start.rs
@@ -81,7 +81,7 @@
         Ok(reply) => {
             if let CallsResponse::SlowStarts(permits) = reply.response {
                 node.metrics.slow_starts.inc_by(permits.len() as u64);
-                node.with_fleet(|fleet, _| fleet.give_permits(sent_ms, &permits));
+                node.with_fleet(|fleet, _| fleet.add_permits(sent_ms, &permits));
                 node.dispatcher.changed.notify_one();
             }
         }
--- a/crates/pinerill-forward/tests/claims.rs
+++ b/crates/pinerill-forward/tests/claims.rs
@@ -24,7 +24,7 @@
 }
 
 fn worker(number: usize) -> WorkerKey {
-    WorkerKey::of(&format!("i-{number:08x}"))
+    WorkerKey::from_id(&format!("i-{number:08x}"))
 }
 
 /// Returns for each contender how many others precede it in the claim order at a worker.
--- a/crates/pinerill-forward/tests/evacuation.rs
+++ b/crates/pinerill-forward/tests/evacuation.rs
@@ -5,7 +5,7 @@
 use pinerill_calls::evacuation::Evacuations;
 use pinerill_calls::table::{Homes, SlowStart, ANYWHERE};
 use pinerill_forward::fleet::{
-    ChoiceSettings, Fleet, Placement, Prompt, Standing, Wanted, WorkerKey,
+    ChoiceSettings, Eligibility, Fleet, Placement, PlacementRequest, Prompt, WorkerKey,
 };
 
 use support::{entry_in, table_with};
@@ -20,14 +20,14 @@
 /// A worker in each of two zones; this node stands in the first.
 fn fleet() -> Fleet {
     let mut fleet = Fleet::new("near", ChoiceSettings::default());
-    fleet.take_slow_starts(&table_with(SLOW_START));
-    fleet.take_directory(0, &[entry_in("near", "a"), entry_in("far", "b")]);
+    fleet.apply_slow_starts(&table_with(SLOW_START));
+    fleet.apply_directory(0, &[entry_in("near", "a"), entry_in("far", "b")]);
     fleet.confirm_directory(0);
     fleet
 }
 
-fn wanted<'a>(prompt: &'a Prompt, homes: &'a Homes) -> Wanted<'a> {
-    Wanted {
+fn wanted<'a>(prompt: &'a Prompt, homes: &'a Homes) -> PlacementRequest<'a> {
+    PlacementRequest {
         service: "svc",
         prompt,
         except: &[],
@@ -39,7 +39,7 @@
 fn placed(fleet: &Fleet, now_ms: u64) -> Option<String> {
     let prompt = Prompt::default();
     match fleet.place(now_ms, &wanted(&prompt, &ANYWHERE), true, |_, _| true) {
-        Placement::Room(chosen) => Some(chosen.entry.id.to_string()),
+        Placement::Available(chosen) => Some(chosen.entry.id.to_string()),
         Placement::Full | Placement::NoWorker => None,
     }
 }
@@ -50,18 +50,18 @@
     let prompt = Prompt::default();
     let mut evacuations = Evacuations::default();
     evacuations.evacuate("near");
-    assert!(fleet.take_evacuations(10, evacuations));
+    assert!(fleet.apply_evacuations(10, evacuations));
     assert_eq!(placed(&fleet, 20).as_deref(), Some("b"));
     let item = fleet.choose_for_item(20, &wanted(&prompt, &ANYWHERE));
     assert_eq!(item.expect("a worker").entry.id.as_str(), "b");
     assert!(
-        fleet.promise(20, "a", 100).is_none(),
+        fleet.promise_slot(20, "a", 100).is_none(),
         "its place is promised to nobody"
     );
-    let promised = fleet.promised(20, WorkerKey::of("a"), &wanted(&prompt, &ANYWHERE));
+    let promised = fleet.promised_worker(20, WorkerKey::from_id("a"), &wanted(&prompt, &ANYWHERE));
     assert!(promised.is_none(), "a promise from before is not taken");
-    assert_eq!(fleet.standing(20, "a"), Standing::Evacuated);
-    assert_eq!(fleet.standing(20, "b"), Standing::Confirmed);
+    assert_eq!(fleet.eligibility(20, "a"), Eligibility::Evacuated);
+    assert_eq!(fleet.eligibility(20, "b"), Eligibility::Confirmed);
 }
 
 #[test]
@@ -71,9 +71,9 @@
     evacuations.evacuate("near");
     let older = evacuations.clone();
     evacuations.return_zone("near");
-    assert!(fleet.take_evacuations(10, evacuations.clone()));
-    assert!(!fleet.take_evacuations(11, older));
-    assert!(!fleet.take_evacuations(12, evacuations));
+    assert!(fleet.apply_evacuations(10, evacuations.clone()));
+    assert!(!fleet.apply_evacuations(11, older));
+    assert!(!fleet.apply_evacuations(12, evacuations));
     assert!(!fleet.is_evacuated("near"));
 }
 
@@ -82,10 +82,10 @@
     let mut fleet = fleet();
     let mut evacuations = Evacuations::default();
     evacuations.evacuate("near");
-    fleet.take_evacuations(10, evacuations.clone());
+    fleet.apply_evacuations(10, evacuations.clone());
     evacuations.return_zone("near");
-    fleet.take_evacuations(1_000, evacuations);
-    fleet.take_directory(1_100, &[entry_in("near", "a"), entry_in("far", "b")]);
+    fleet.apply_evacuations(1_000, evacuations);
+    fleet.apply_directory(1_100, &[entry_in("near", "a"), entry_in("far", "b")]);
     assert!(!fleet.is_permitted(1_100, "a", None));
     assert_eq!(placed(&fleet, 1_100).as_deref(), Some("b"));
     let warm_ms = 1_000 + DURATION_MS;
@@ -100,12 +100,12 @@
     let fleet = fleet().with_regions(regions.into_iter().collect());
     let prompt = Prompt::default();
     let placed = |homes: &Homes| match fleet.place(10, &wanted(&prompt, homes), true, |_, _| true) {
-        Placement::Room(chosen) => Some(chosen.entry.id.to_string()),
+        Placement::Available(chosen) => Some(chosen.entry.id.to_string()),
         Placement::Full | Placement::NoWorker => None,
     };
     let south = Homes::of(["south".to_owned()]);
     assert_eq!(placed(&south).as_deref(), Some("b"));
-    let promised = fleet.promised(10, WorkerKey::of("a"), &wanted(&prompt, &south));
+    let promised = fleet.promised_worker(10, WorkerKey::from_id("a"), &wanted(&prompt, &south));
     assert!(promised.is_none());
     let item = fleet.choose_for_item(10, &wanted(&prompt, &south));
     assert_eq!(item.expect("a worker").entry.id.as_str(), "b");
--- a/crates/pinerill-forward/tests/fleet.rs
+++ b/crates/pinerill-forward/tests/fleet.rs
@@ -4,7 +4,7 @@
 use pinerill_calls::protocol::{CallHead, LoadSample, PromptPart};
 use pinerill_calls::table::ANYWHERE;
 use pinerill_forward::fleet::{
-    ChoiceSettings, Fleet, Placement, Prompt, TellingOrder, Wanted, WorkerCount, WorkerKey,
+    ChoiceSettings, Fleet, Placement, PlacementRequest, Prompt, ReportOrder, WorkerCount, WorkerKey,
 };
 
 /// When directories are taken in.
@@ -32,7 +32,7 @@
         ..ChoiceSettings::default()
     };
     let mut fleet = Fleet::new("near", settings);
-    fleet.take_directory(NOW_MS, entries);
+    fleet.apply_directory(NOW_MS, entries);
     fleet
 }
 
@@ -41,15 +41,15 @@
         id: *id,
         tokens: 1_000,
     };
-    Prompt::of_call(&CallHead {
+    Prompt::from_call(&CallHead {
         prompt: parts.iter().map(part).collect(),
         ..CallHead::default()
     })
 }
 
 /// A call that may run again.
-fn wanted<'a>(prompt: &'a Prompt, except: &'a [WorkerId]) -> Wanted<'a> {
-    Wanted {
+fn wanted<'a>(prompt: &'a Prompt, except: &'a [WorkerId]) -> PlacementRequest<'a> {
+    PlacementRequest {
         service: "s",
         prompt,
         except,
@@ -60,7 +60,7 @@
 
 fn choose(fleet: &Fleet, now_ms: u64, prompt: &Prompt, except: &[WorkerId]) -> Option<WorkerId> {
     match fleet.place(now_ms, &wanted(prompt, except), EXPLORES, |_, _| true) {
-        Placement::Room(chosen) => Some(chosen.entry.id.clone()),
+        Placement::Available(chosen) => Some(chosen.entry.id.clone()),
         Placement::Full | Placement::NoWorker => None,
     }
 }
@@ -78,12 +78,12 @@
     ([127, 0, 0, 2], port).into()
 }
 
-fn order(start: u64, sequence: u64) -> TellingOrder {
-    TellingOrder { start, sequence }
+fn order(start: u64, sequence: u64) -> ReportOrder {
+    ReportOrder { start, sequence }
 }
 
 fn count(worker: &str, requests: u32) -> Vec<WorkerCount> {
-    let worker = WorkerKey::of(worker);
+    let worker = WorkerKey::from_id(worker);
     vec![WorkerCount { worker, requests }]
 }
 
@@ -93,7 +93,7 @@
     let none = Prompt::default();
     assert_eq!(choose(&fleet, 0, &none, &[]), Some(id("near")));
     for _ in 0..6 {
-        fleet.begin(0, "near", 0.0);
+        fleet.begin_request(0, "near", 0.0);
     }
     assert_eq!(choose(&fleet, 0, &none, &[]), Some(id("far")));
 }
@@ -103,17 +103,17 @@
     let mut fleet = fleet(&[entry("a", "near")]);
     let mut draining = entry("a", "near");
     draining.state = WorkerState::Draining;
-    fleet.take_directory(NOW_MS, &[draining]);
+    fleet.apply_directory(NOW_MS, &[draining]);
     assert_eq!(choose(&fleet, 0, &Prompt::default(), &[]), None);
     // A list that lags shows it ready once more.
-    fleet.take_directory(NOW_MS, &[entry("a", "near")]);
+    fleet.apply_directory(NOW_MS, &[entry("a", "near")]);
     assert_eq!(choose(&fleet, 0, &Prompt::default(), &[]), None);
 }
 
 #[test]
 fn a_worker_that_failed_is_chosen_only_if_there_is_no_other() {
     let mut fleet = fleet(&[entry("a", "near"), entry("b", "other")]);
-    fleet.failed(0, "a");
+    fleet.record_failure(0, "a");
     let none = Prompt::default();
     assert_eq!(choose(&fleet, 1, &none, &[]), Some(id("b")));
     assert_eq!(choose(&fleet, 1, &none, &[id("b")]), Some(id("a")));
@@ -151,7 +151,7 @@
         slots: 4,
         work_percent: None,
     };
-    fleet.take_load(0, "a", full);
+    fleet.record_load(0, "a", full);
     let none = Prompt::default();
     assert_eq!(choose(&fleet, 100, &none, &[]), Some(id("b")));
     assert_eq!(choose(&fleet, 5_000, &none, &[]), Some(id("a")));
@@ -165,11 +165,11 @@
     // 0.65 of 4 slots: two items fit.
     for _ in 0..2 {
         assert!(fleet.choose_for_item(0, &wanted).is_some());
-        fleet.begin(0, "a", 0.0);
+        fleet.begin_request(0, "a", 0.0);
     }
     assert!(fleet.choose_for_item(0, &wanted).is_none());
-    assert!(matches!(place(&fleet, 0, STAYS), Placement::Room(_)));
-    fleet.end("a");
+    assert!(matches!(place(&fleet, 0, STAYS), Placement::Available(_)));
+    fleet.end_request("a");
     assert!(fleet.choose_for_item(0, &wanted).is_some());
 }
 
@@ -179,10 +179,10 @@
     let none = Prompt::default();
     let wanted = wanted(&none, &[]);
     for _ in 0..3 {
-        fleet.begin(0, "near", 0.0);
+        fleet.begin_request(0, "near", 0.0);
     }
     assert!(fleet.choose_for_item(0, &wanted).is_none());
-    fleet.failed(0, "near");
+    fleet.record_failure(0, "near");
     let chosen = fleet.choose_for_item(1, &wanted).expect("a worker");
     assert_eq!(chosen.entry.id.name(), "far");
 }
@@ -201,7 +201,7 @@
 #[test]
 fn workers_that_are_gone_are_told() {
     let mut fleet = fleet(&[entry("a", "near"), entry("b", "near")]);
-    let gone = fleet.take_directory(NOW_MS, &[entry("b", "near")]);
+    let gone = fleet.apply_directory(NOW_MS, &[entry("b", "near")]);
     let gone: Vec<&str> = gone.iter().map(|worker| worker.entry.id.as_str()).collect();
     assert_eq!(gone, ["a"]);
 }
@@ -230,89 +230,92 @@
 fn a_call_gets_no_place_where_every_slot_is_taken() {
     let mut fleet = fleet(&[entry("a", "near")]);
     for _ in 0..4 {
-        assert!(matches!(place(&fleet, 0, STAYS), Placement::Room(_)));
-        fleet.begin(0, "a", 0.0);
+        assert!(matches!(place(&fleet, 0, STAYS), Placement::Available(_)));
+        fleet.begin_request(0, "a", 0.0);
     }
     assert!(matches!(place(&fleet, 0, STAYS), Placement::Full));
-    fleet.end("a");
-    assert!(matches!(place(&fleet, 0, STAYS), Placement::Room(_)));
+    fleet.end_request("a");
+    assert!(matches!(place(&fleet, 0, STAYS), Placement::Available(_)));
 }
 
 #[test]
 fn a_service_without_workers_is_told_from_one_that_is_full() {
     let mut fleet = fleet(&[]);
     assert!(matches!(place(&fleet, 0, STAYS), Placement::NoWorker));
-    fleet.take_directory(NOW_MS, &[entry("a", "near")]);
-    fleet.was_full(0, "a");
+    fleet.apply_directory(NOW_MS, &[entry("a", "near")]);
+    fleet.mark_full(0, "a");
     assert!(matches!(place(&fleet, 10, STAYS), Placement::Full));
-    assert!(matches!(place(&fleet, 200, STAYS), Placement::Room(_)));
+    assert!(matches!(place(&fleet, 200, STAYS), Placement::Available(_)));
 }
 
 #[test]
 fn what_peers_have_in_flight_takes_slots() {
     let mut fleet = fleet(&[entry("a", "near")]);
-    fleet.take_peer(0, peer(1), order(1, 1), count("a", 3));
-    assert!(matches!(place(&fleet, 0, STAYS), Placement::Room(_)));
-    fleet.take_peer(0, peer(2), order(9, 1), count("a", 1));
+    fleet.record_peer_counts(0, peer(1), order(1, 1), count("a", 3));
+    assert!(matches!(place(&fleet, 0, STAYS), Placement::Available(_)));
+    fleet.record_peer_counts(0, peer(2), order(9, 1), count("a", 1));
     assert!(matches!(place(&fleet, 0, STAYS), Placement::Full));
     // Whole counts: the newer message takes the place of the older one.
-    fleet.take_peer(5, peer(1), order(1, 2), Vec::new());
-    assert!(matches!(place(&fleet, 5, STAYS), Placement::Room(_)));
+    fleet.record_peer_counts(5, peer(1), order(1, 2), Vec::new());
+    assert!(matches!(place(&fleet, 5, STAYS), Placement::Available(_)));
 }
 
 #[test]
 fn an_old_message_of_a_peer_changes_nothing() {
     let mut fleet = fleet(&[entry("a", "near")]);
-    fleet.take_peer(0, peer(1), order(1, 2), Vec::new());
-    fleet.take_peer(1, peer(1), order(1, 1), count("a", 4));
-    assert!(matches!(place(&fleet, 1, STAYS), Placement::Room(_)));
+    fleet.record_peer_counts(0, peer(1), order(1, 2), Vec::new());
+    fleet.record_peer_counts(1, peer(1), order(1, 1), count("a", 4));
+    assert!(matches!(place(&fleet, 1, STAYS), Placement::Available(_)));
     // Another start of the peer counts from its first message on.
-    fleet.take_peer(2, peer(1), order(7, 1), count("a", 4));
+    fleet.record_peer_counts(2, peer(1), order(7, 1), count("a", 4));
     assert!(matches!(place(&fleet, 2, STAYS), Placement::Full));
 }
 
 #[test]
 fn what_a_silent_peer_told_is_forgotten() {
     let mut fleet = fleet(&[entry("a", "near")]);
-    fleet.take_peer(0, peer(1), order(1, 1), count("a", 4));
+    fleet.record_peer_counts(0, peer(1), order(1, 1), count("a", 4));
     fleet.forget_silent_peers(1_000);
     assert!(matches!(place(&fleet, 1_000, STAYS), Placement::Full));
     fleet.forget_silent_peers(2_000);
-    assert!(matches!(place(&fleet, 2_000, STAYS), Placement::Room(_)));
+    assert!(matches!(
+        place(&fleet, 2_000, STAYS),
+        Placement::Available(_)
+    ));
 }
 
 #[test]
 fn what_peers_told_of_a_worker_counts_once_it_is_listed() {
     let mut fleet = fleet(&[]);
-    fleet.take_peer(0, peer(1), order(1, 1), count("a", 4));
-    fleet.take_directory(NOW_MS, &[entry("a", "near")]);
+    fleet.record_peer_counts(0, peer(1), order(1, 1), count("a", 4));
+    fleet.apply_directory(NOW_MS, &[entry("a", "near")]);
     assert!(matches!(place(&fleet, 0, STAYS), Placement::Full));
-    fleet.take_directory(NOW_MS, &[entry("a", "near"), entry("b", "near")]);
-    fleet.take_peer(1, peer(1), order(1, 2), Vec::new());
-    fleet.begin(1, "b", 0.0);
+    fleet.apply_directory(NOW_MS, &[entry("a", "near"), entry("b", "near")]);
+    fleet.record_peer_counts(1, peer(1), order(1, 2), Vec::new());
+    fleet.begin_request(1, "b", 0.0);
     assert_eq!(choose(&fleet, 1, &Prompt::default(), &[]), Some(id("a")));
 }
 
 #[test]
 fn a_load_sample_does_not_count_twice_what_peers_tell() {
     let mut fleet = fleet(&[entry("a", "near")]);
-    fleet.take_peer(0, peer(1), order(1, 1), count("a", 2));
+    fleet.record_peer_counts(0, peer(1), order(1, 1), count("a", 2));
     let sample = LoadSample {
         running: 2,
         waiting: 0,
         slots: 4,
         work_percent: None,
     };
-    fleet.take_load(0, "a", sample);
-    fleet.begin(0, "a", 0.0);
-    assert!(matches!(place(&fleet, 0, STAYS), Placement::Room(_)));
+    fleet.record_load(0, "a", sample);
+    fleet.begin_request(0, "a", 0.0);
+    assert!(matches!(place(&fleet, 0, STAYS), Placement::Available(_)));
 }
 
 #[test]
 fn other_zones_serve_where_this_one_has_no_sound_worker() {
     let mut fleet = fleet(&[entry("near", "near"), entry("far", "other")]);
-    fleet.failed(0, "near");
-    let Placement::Room(chosen) = place(&fleet, 1, STAYS) else {
+    fleet.record_failure(0, "near");
+    let Placement::Available(chosen) = place(&fleet, 1, STAYS) else {
         panic!("no room");
     };
     assert_eq!(chosen.entry.id.name(), "far");
@@ -322,18 +325,21 @@
 fn other_zones_are_used_where_their_load_is_known_and_tried_now_and_then() {
     let mut fleet = fleet(&[entry("near", "near"), entry("far", "other")]);
     for _ in 0..4 {
-        fleet.begin(0, "near", 0.0);
+        fleet.begin_request(0, "near", 0.0);
     }
     assert!(matches!(place(&fleet, 0, STAYS), Placement::Full));
-    assert!(matches!(place(&fleet, 0, EXPLORES), Placement::Room(_)));
+    assert!(matches!(
+        place(&fleet, 0, EXPLORES),
+        Placement::Available(_)
+    ));
     let idle = LoadSample {
         running: 0,
         waiting: 0,
         slots: 4,
         work_percent: None,
     };
-    fleet.take_load(0, "far", idle);
-    assert!(matches!(place(&fleet, 0, STAYS), Placement::Room(_)));
+    fleet.record_load(0, "far", idle);
+    assert!(matches!(place(&fleet, 0, STAYS), Placement::Available(_)));
     assert!(matches!(place(&fleet, 2_000, STAYS), Placement::Full));
 }
 
@@ -341,35 +347,35 @@
 fn a_worker_of_another_zone_is_known_while_its_zone_tells_what_it_sends() {
     let mut fleet = fleet(&[entry("near", "near"), entry("far", "other")]);
     for _ in 0..4 {
-        fleet.begin(0, "near", 0.0);
+        fleet.begin_request(0, "near", 0.0);
     }
     assert!(matches!(place(&fleet, 0, STAYS), Placement::Full));
     // A third zone says nothing of the worker's own one.
-    fleet.take_zone(0, "third", order(1, 1), count("far", 1));
+    fleet.record_zone_counts(0, "third", order(1, 1), count("far", 1));
     assert!(matches!(place(&fleet, 0, STAYS), Placement::Full));
-    fleet.take_zone(0, "other", order(1, 1), count("far", 1));
-    let Placement::Room(chosen) = place(&fleet, 0, STAYS) else {
+    fleet.record_zone_counts(0, "other", order(1, 1), count("far", 1));
+    let Placement::Available(chosen) = place(&fleet, 0, STAYS) else {
         panic!("there is room in the other zone");
     };
     assert_eq!(chosen.entry.id.name(), "far");
     // One slot there stays free: what is known of it is older.
-    fleet.take_zone(0, "other", order(1, 2), count("far", 2));
+    fleet.record_zone_counts(0, "other", order(1, 2), count("far", 2));
     assert!(matches!(place(&fleet, 0, STAYS), Placement::Full));
     // Zones that fell silent are not known any more.
-    fleet.take_zone(0, "other", order(1, 3), count("far", 0));
+    fleet.record_zone_counts(0, "other", order(1, 3), count("far", 0));
     assert!(matches!(place(&fleet, 5_000, STAYS), Placement::Full));
 }
 
 #[test]
 fn the_relays_of_a_zone_tell_the_same_and_count_once() {
     let mut fleet = fleet(&[entry("a", "near")]);
-    fleet.take_zone(0, "other", order(1, 1), count("a", 2));
-    fleet.take_zone(1, "other", order(2, 1), count("a", 2));
-    assert!(matches!(place(&fleet, 1, STAYS), Placement::Room(_)));
+    fleet.record_zone_counts(0, "other", order(1, 1), count("a", 2));
+    fleet.record_zone_counts(1, "other", order(2, 1), count("a", 2));
+    assert!(matches!(place(&fleet, 1, STAYS), Placement::Available(_)));
     // A message of the first one that was late or came twice.
-    fleet.take_zone(2, "third", order(3, 1), count("a", 1));
-    assert!(!fleet.take_zone(2, "third", order(3, 1), count("a", 4)));
-    assert!(matches!(place(&fleet, 2, STAYS), Placement::Room(_)));
+    fleet.record_zone_counts(2, "third", order(3, 1), count("a", 1));
+    assert!(!fleet.record_zone_counts(2, "third", order(3, 1), count("a", 4)));
+    assert!(matches!(place(&fleet, 2, STAYS), Placement::Available(_)));
     fleet.forget_silent_peers(3_000);
     assert_eq!(fleet.zone_in_flight(3_000), Vec::new());
 }
@@ -377,9 +383,9 @@
 #[test]
 fn a_zone_tells_what_its_own_nodes_have_in_flight_and_no_other() {
     let mut fleet = fleet(&[entry("a", "near"), entry("b", "other")]);
-    fleet.begin(0, "b", 0.0);
-    fleet.take_peer(0, peer(1), order(1, 1), count("a", 2));
-    fleet.take_zone(0, "other", order(1, 1), count("a", 1));
+    fleet.begin_request(0, "b", 0.0);
+    fleet.record_peer_counts(0, peer(1), order(1, 1), count("a", 2));
+    fleet.record_zone_counts(0, "other", order(1, 1), count("a", 1));
     let mut told = fleet.zone_in_flight(0);
     told.sort_by_key(|count| count.requests);
     assert_eq!(told, [count("b", 1), count("a", 2)].concat());
@@ -389,42 +395,44 @@
 fn a_promised_place_is_taken_until_its_time_is_up() {
     let mut fleet = fleet(&[entry("a", "near")]);
     for _ in 0..3 {
-        fleet.begin(0, "a", 0.0);
+        fleet.begin_request(0, "a", 0.0);
     }
-    let key = fleet.promise(0, "a", 20).expect("a place is free");
+    let key = fleet.promise_slot(0, "a", 20).expect("a place is free");
     assert!(matches!(place(&fleet, 10, STAYS), Placement::Full));
     assert_eq!(fleet.in_flight(10), count("a", 4));
     // Nothing is left to promise.
-    assert_eq!(fleet.promise(10, "a", 30), None);
-    assert!(matches!(place(&fleet, 20, STAYS), Placement::Room(_)));
+    assert_eq!(fleet.promise_slot(10, "a", 30), None);
+    assert!(matches!(place(&fleet, 20, STAYS), Placement::Available(_)));
     let none = Prompt::default();
-    assert!(fleet.promised(0, key, &wanted(&none, &[])).is_some());
-    assert!(fleet.promised(0, key, &wanted(&none, &[id("a")])).is_none());
-    fleet.failed(0, "a");
-    assert!(fleet.promised(0, key, &wanted(&none, &[])).is_none());
+    assert!(fleet.promised_worker(0, key, &wanted(&none, &[])).is_some());
+    assert!(fleet
+        .promised_worker(0, key, &wanted(&none, &[id("a")]))
+        .is_none());
+    fleet.record_failure(0, "a");
+    assert!(fleet.promised_worker(0, key, &wanted(&none, &[])).is_none());
 }
 
 #[test]
 fn no_place_of_another_zone_or_of_an_unsound_worker_is_promised() {
     let mut fleet = fleet(&[entry("a", "near"), entry("far", "other")]);
-    assert_eq!(fleet.promise(0, "far", 20), None);
-    fleet.failed(0, "a");
-    assert_eq!(fleet.promise(0, "a", 20), None);
-    assert_eq!(fleet.promise(0, "gone", 20), None);
+    assert_eq!(fleet.promise_slot(0, "far", 20), None);
+    fleet.record_failure(0, "a");
+    assert_eq!(fleet.promise_slot(0, "a", 20), None);
+    assert_eq!(fleet.promise_slot(0, "gone", 20), None);
 }
 
 fn three_workers() -> Fleet {
     let entries: Vec<WorkerEntry> = ["a", "b", "c"].map(|id| entry(id, "near")).into();
     let mut fleet = fleet(&entries);
     // The others are fuller, so that "a" is the one to choose.
-    fleet.begin(0, "b", 0.0);
-    fleet.begin(0, "c", 0.0);
+    fleet.begin_request(0, "b", 0.0);
+    fleet.begin_request(0, "c", 0.0);
     fleet
 }
 
 fn chosen_at(fleet: &Fleet, now_ms: u64) -> WorkerId {
     match place(fleet, now_ms, STAYS) {
-        Placement::Room(chosen) => chosen.entry.id.clone(),
+        Placement::Available(chosen) => chosen.entry.id.clone(),
         other => panic!("{other:?}"),
     }
 }
@@ -432,11 +440,11 @@
 #[test]
 fn a_worker_that_two_other_nodes_got_no_answer_of_is_avoided_for_a_moment() {
     let mut fleet = three_workers();
-    fleet.suspect(0, peer(1), WorkerKey::of("a"));
+    fleet.record_suspicion(0, peer(1), WorkerKey::from_id("a"));
     // One node may be cut off itself, however often it says so.
-    fleet.suspect(10, peer(1), WorkerKey::of("a"));
+    fleet.record_suspicion(10, peer(1), WorkerKey::from_id("a"));
     assert_eq!(chosen_at(&fleet, 10), id("a"));
-    fleet.suspect(20, peer(2), WorkerKey::of("a"));
+    fleet.record_suspicion(20, peer(2), WorkerKey::from_id("a"));
     assert_ne!(chosen_at(&fleet, 20), id("a"));
     assert_eq!(chosen_at(&fleet, 1_500), id("a"));
 }
@@ -444,9 +452,9 @@
 #[test]
 fn a_worker_that_answers_here_is_not_avoided_for_what_others_say() {
     let mut fleet = three_workers();
-    fleet.suspect(0, peer(1), WorkerKey::of("a"));
-    fleet.suspect(0, peer(2), WorkerKey::of("a"));
-    fleet.succeeded(NOW_MS, "a");
+    fleet.record_suspicion(0, peer(1), WorkerKey::from_id("a"));
+    fleet.record_suspicion(0, peer(2), WorkerKey::from_id("a"));
+    fleet.record_success(NOW_MS, "a");
     assert_eq!(chosen_at(&fleet, 1), id("a"));
 }
 
@@ -454,8 +462,8 @@
 fn what_others_say_takes_no_more_than_a_third_of_the_workers() {
     let mut fleet = three_workers();
     for worker in ["a", "b"] {
-        fleet.suspect(0, peer(1), WorkerKey::of(worker));
-        fleet.suspect(0, peer(2), WorkerKey::of(worker));
+        fleet.record_suspicion(0, peer(1), WorkerKey::from_id(worker));
+        fleet.record_suspicion(0, peer(2), WorkerKey::from_id(worker));
     }
     assert_eq!(chosen_at(&fleet, 1), id("a"));
 }
@@ -465,12 +473,12 @@
     let mut wide = entry("a", "near");
     wide.slots = slots;
     let mut fleet = Fleet::new("near", ChoiceSettings::default());
-    fleet.take_directory(NOW_MS, &[wide]);
+    fleet.apply_directory(NOW_MS, &[wide]);
     let none = Prompt::default();
     let wanted = wanted(&none, &[]);
     let mut items = 0;
     while fleet.choose_for_item(NOW_MS, &wanted).is_some() {
-        fleet.begin(NOW_MS, "a", 0.0);
+        fleet.begin_request(NOW_MS, "a", 0.0);
         items += 1;
     }
     items
--- a/crates/pinerill-forward/tests/leave_notice.rs
+++ b/crates/pinerill-forward/tests/leave_notice.rs
@@ -8,7 +8,7 @@
 use pinerill_calls::directory::{
     Directory, DirectoryHistory, DirectoryUpdate, WorkerEntry, WorkerId, WorkerState,
 };
-use pinerill_forward::fleet::{ChoiceSettings, Fleet, Standing};
+use pinerill_forward::fleet::{ChoiceSettings, Eligibility, Fleet};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -160,7 +160,7 @@
         if let Some(update) = answer.update {
             self.directory = Directory::apply_update(self.directory.as_ref(), update).ok();
             if let Some(directory) = &self.directory {
-                self.fleet.take_directory(self.now_ms, directory.workers());
+                self.fleet.apply_directory(self.now_ms, directory.workers());
             }
         }
         let (Some(_), Some(age_ms)) = (&self.directory, answer.age_ms) else {
@@ -181,11 +181,11 @@
         let began_ms = reading.began_ms as i64;
         self.directory = None;
         if self.age_basis == AgeBasis::AcceptsOlderReading {
-            self.fleet.take_directory(self.now_ms, &reading.workers);
+            self.fleet.apply_directory(self.now_ms, &reading.workers);
             self.fleet.confirm_directory(began_ms);
         } else {
             let (now_ms, fleet) = (self.now_ms, &mut self.fleet);
-            let _ = fleet.take_reading(now_ms, began_ms, &reading.workers);
+            let _ = fleet.apply_listing(now_ms, began_ms, &reading.workers);
         }
     }
 
@@ -238,7 +238,7 @@
     }
 
     fn may_send(&self) -> bool {
-        self.fleet.standing(self.now_ms, &worker_id()) == Standing::Confirmed
+        self.fleet.eligibility(self.now_ms, &worker_id()) == Eligibility::Confirmed
     }
 }
 
@@ -327,7 +327,9 @@
     assert!(simulation.may_send());
     simulation.now_ms += NOTICE_MS;
     assert_eq!(
-        simulation.fleet.standing(simulation.now_ms, &worker_id()),
-        Standing::Unconfirmed
+        simulation
+            .fleet
+            .eligibility(simulation.now_ms, &worker_id()),
+        Eligibility::Unconfirmed
     );
 }
--- a/crates/pinerill-forward/tests/slow_start.rs
+++ b/crates/pinerill-forward/tests/slow_start.rs
@@ -12,7 +12,7 @@
 
 use pinerill_calls::directory::{WorkerEntry, WorkerId};
 use pinerill_calls::table::{Service, SlowStart, ANYWHERE};
-use pinerill_forward::fleet::{ChoiceSettings, Fleet, Placement, Prompt, Wanted};
+use pinerill_forward::fleet::{ChoiceSettings, Fleet, Placement, PlacementRequest, Prompt};
 use pinerill_quota::bucket::TokenBucket;
 use pinerill_quota::lender::Lender;
 use pinerill_quota::limit::{RequestLimit, Tolerance};
@@ -66,8 +66,8 @@
 /// Returns a fleet whose only worker is cold, so that all calls go to it.
 fn fleet() -> Fleet {
     let mut fleet = Fleet::new("z", ChoiceSettings::default());
-    fleet.take_slow_starts(&table_with(SLOW_START));
-    fleet.take_directory(0, &[cold_entry(COLD, STEPS * STEP_MS)]);
+    fleet.apply_slow_starts(&table_with(SLOW_START));
+    fleet.apply_directory(0, &[cold_entry(COLD, STEPS * STEP_MS)]);
     fleet
 }
 
@@ -134,7 +134,7 @@
     while let Some((asked_ms, _, lends)) = node.answers.pop_front_if(|one| one.1 <= now_ms) {
         let workers = [WorkerId::new(COLD, None)];
         node.fleet
-            .give_permits(asked_ms, &workers[..usize::from(lends)]);
+            .add_permits(asked_ms, &workers[..usize::from(lends)]);
     }
     if !has_call {
         return false;
@@ -155,7 +155,7 @@
         }
     }
     let prompt = Prompt::default();
-    let wanted = Wanted {
+    let wanted = PlacementRequest {
         service: "svc",
         prompt: &prompt,
         except: &[],
@@ -163,11 +163,11 @@
         homes: &ANYWHERE,
     };
     let placement = node.fleet.place(now_ms, &wanted, true, |_, _| true);
-    if !matches!(placement, Placement::Room(_)) {
+    if !matches!(placement, Placement::Available(_)) {
         return false;
     }
-    let permit = node.fleet.begin(now_ms, COLD, 0.0);
-    node.fleet.end(COLD);
+    let permit = node.fleet.begin_request(now_ms, COLD, 0.0);
+    node.fleet.end_request(COLD);
     node.fleet.is_permitted(now_ms, COLD, permit)
 }
 
@@ -211,15 +211,15 @@
 fn permit_covers_one_request_and_expires() {
     let mut fleet = fleet();
     assert!(!fleet.is_permitted(0, COLD, None));
-    fleet.give_permits(0, &[WorkerId::new(COLD, None)]);
-    let permit = fleet.begin(100, COLD, 0.0);
+    fleet.add_permits(0, &[WorkerId::new(COLD, None)]);
+    let permit = fleet.begin_request(100, COLD, 0.0);
     assert!(permit.is_some() && fleet.is_permitted(400, COLD, permit));
     assert!(
         !fleet.is_permitted(500, COLD, permit),
         "an expired permit is accepted"
     );
     assert!(
-        fleet.begin(100, COLD, 0.0).is_none(),
+        fleet.begin_request(100, COLD, 0.0).is_none(),
         "a permit is issued twice"
     );
 }
@@ -229,12 +229,12 @@
 #[test]
 fn worker_that_was_gone_counts_as_cold_until_it_has_served_for_the_slow_start() {
     let mut fleet = Fleet::new("z", ChoiceSettings::default());
-    fleet.take_slow_starts(&table_with(SLOW_START));
-    fleet.take_directory(0, &[cold_entry("w", 0)]);
+    fleet.apply_slow_starts(&table_with(SLOW_START));
+    fleet.apply_directory(0, &[cold_entry("w", 0)]);
     assert!(fleet.is_permitted(0, "w", None));
-    fleet.was_gone("w");
+    fleet.mark_not_listening("w");
     assert!(!fleet.is_permitted(60_000, "w", None));
-    fleet.succeeded(60_000, "w");
+    fleet.record_success(60_000, "w");
     assert!(!fleet.is_permitted(60_001, "w", None));
     assert!(fleet.is_permitted(60_000 + STEPS * STEP_MS, "w", None));
 }
@@ -255,8 +255,8 @@
         ..entry_in("far", "far")
     };
     let mut fleet = Fleet::new("z", ChoiceSettings::default());
-    fleet.take_slow_starts(&table);
-    fleet.take_directory(0, &[cold_entry("near", 0), far]);
+    fleet.apply_slow_starts(&table);
+    fleet.apply_directory(0, &[cold_entry("near", 0), far]);
     let asked = fleet.cold_workers(0);
     let asked: Vec<String> = asked.iter().map(|worker| worker.id.to_string()).collect();
     assert_eq!(asked, ["far"]);
@@ -266,7 +266,7 @@
 #[test]
 fn workers_of_a_service_without_a_rate_need_no_permit() {
     let mut fleet = Fleet::new("z", ChoiceSettings::default());
-    fleet.take_directory(0, &[cold_entry("w", 3_000)]);
+    fleet.apply_directory(0, &[cold_entry("w", 3_000)]);
     assert!(fleet.is_permitted(0, "w", None));
     assert!(fleet.cold_workers(0).is_empty());
 }
--- a/crates/pinerill-forward/tests/zone_counts.rs
+++ b/crates/pinerill-forward/tests/zone_counts.rs
@@ -10,15 +10,18 @@
 fn other_zones_hear_of_each_change_once_half_of_the_places_are_taken() {
     let mut fleet = Fleet::new("near", ChoiceSettings::default());
     let entries = [("near", "a"), ("near", "b"), ("other", "c")];
-    fleet.take_directory(0, &entries.map(|(zone, name)| entry_in(zone, name)));
+    fleet.apply_directory(0, &entries.map(|(zone, name)| entry_in(zone, name)));
     for _ in 0..3 {
-        fleet.begin(0, "a", 0.0);
+        fleet.begin_request(0, "a", 0.0);
     }
-    assert!(!fleet.zone_has_little_room(0));
-    fleet.begin(0, "b", 0.0);
-    assert!(fleet.zone_has_little_room(0), "four of eight");
-    fleet.end("b");
-    assert!(!fleet.zone_has_little_room(0));
-    fleet.begin(0, "c", 0.0);
-    assert!(fleet.zone_has_little_room(0), "other zones must know");
+    assert!(!fleet.needs_immediate_zone_reports(0));
+    fleet.begin_request(0, "b", 0.0);
+    assert!(fleet.needs_immediate_zone_reports(0), "four of eight");
+    fleet.end_request("b");
+    assert!(!fleet.needs_immediate_zone_reports(0));
+    fleet.begin_request(0, "c", 0.0);
+    assert!(
+        fleet.needs_immediate_zone_reports(0),
+        "other zones must know"
+    );
 }
