--- a/crates/pinerill-forward/src/dispatch/zone.rs
+++ b/crates/pinerill-forward/src/dispatch/zone.rs
@@ -82,7 +82,7 @@
         let now_ms = node.now_ms();
         let has_free_slot = node.with_fleet(|fleet, _| {
             let worker = fleet.worker(worker)?;
-            worker.has_room(now_ms, 0.0).then_some(())
+            worker.has_free_slot(now_ms, 0.0).then_some(())
         });
         if has_free_slot.is_none() {
             return false;
--- a/crates/pinerill-forward/src/fleet/choice.rs
+++ b/crates/pinerill-forward/src/fleet/choice.rs
@@ -15,19 +15,19 @@
 /// square of what is filled. A step takes hardly longer beside other requests, but
 /// what is known of them is a little old, so that the last free slots are the ones
 /// that several nodes take at once.
-const FILLED_MS: f64 = 30.0;
+const FULL_WORKER_COST_MS: f64 = 30.0;
 /// What a worker that is still slow after its start costs, milliseconds.
-const COLD_MS: f64 = 50.0;
+const COLD_WORKER_COST_MS: f64 = 50.0;
 /// Prompts still to be read that weigh as much at the choice for an item as all
 /// slots being taken, milliseconds.
-const READING_SCALE_MS: f64 = 200.0;
+const PREFILL_SCALE_MS: f64 = 200.0;
 /// Part of a prefix's reading time that is counted at the worker to which all
 /// nodes of a zone send that prefix, where this node doesn't know it yet.
-const MEETING_POINT: f64 = 0.5;
+const PREFERRED_WORKER_PREFILL_FACTOR: f64 = 0.5;
 
 /// Slots that stay free at a worker of another zone: what is known of it is older
 /// than what its own zone knows.
-const FAR_SPARE_SLOTS: f64 = 1.0;
+const REMOTE_ZONE_SPARE_SLOTS: f64 = 1.0;
 
 /// What a worker is wanted for.
 #[derive(Debug, Clone, Copy)]
@@ -64,14 +64,16 @@
 
 /// Whether a worker neither failed this node a short while ago nor, as far as hearsay is
 /// credible, others.
-fn is_sound(now_ms: u64, worker: &Worker, credible: bool) -> bool {
-    let suspected = credible && worker.suspicion.holds(now_ms);
+fn is_healthy(now_ms: u64, worker: &Worker, credible: bool) -> bool {
+    let suspected = credible && worker.suspicion.is_corroborated(now_ms);
     !worker.is_avoided(now_ms) && !suspected
 }
 
 /// Whether what other nodes say of these workers counts.
-fn is_hearsay_credible(now_ms: u64, workers: &[&Worker]) -> bool {
-    let suspected = workers.iter().filter(|one| one.suspicion.holds(now_ms));
+fn are_peer_reports_credible(now_ms: u64, workers: &[&Worker]) -> bool {
+    let suspected = workers
+        .iter()
+        .filter(|one| one.suspicion.is_corroborated(now_ms));
     suspicion::is_credible(suspected.count(), workers.len())
 }
 
@@ -93,49 +95,51 @@
         explores: bool,
         mut may_take: impl FnMut(WorkerKey, usize) -> bool,
     ) -> Placement {
-        let asked = self.asked(wanted);
-        if asked.is_empty() {
+        let matching = self.matching_workers(wanted);
+        if matching.is_empty() {
             return Placement::NoWorker;
         }
-        let credible = is_hearsay_credible(now_ms, &asked);
-        let is_sound = |worker: &Worker| is_sound(now_ms, worker, credible);
-        let any_sound = asked.iter().any(|one| is_sound(one));
-        let is_proven = |worker: &Worker| is_sound(worker) && worker.is_proven(now_ms);
-        let only_proven = wanted.runs_once && asked.iter().any(|one| is_proven(one));
-        let zone_serves = asked
-            .iter()
-            .any(|one| self.is_near(one) && is_sound(one) && self.may_start(now_ms, one));
-        let meeting_point = self.meeting_point(wanted);
-        let heard = self.heard_zones(now_ms, &asked);
-        let open = asked.into_iter().filter(|worker| {
-            let passed_over =
-                (any_sound && !is_sound(worker)) || (only_proven && !is_proven(worker));
-            let known = self.is_near(worker)
-                || heard.contains(&worker.entry().zone)
+        let credible = are_peer_reports_credible(now_ms, &matching);
+        let is_healthy = |worker: &Worker| is_healthy(now_ms, worker, credible);
+        let any_healthy = matching.iter().any(|one| is_healthy(one));
+        let is_proven = |worker: &Worker| is_healthy(worker) && worker.is_proven(now_ms);
+        let only_proven = wanted.runs_once && matching.iter().any(|one| is_proven(one));
+        let zone_serves = matching.iter().any(|one| {
+            self.is_in_own_zone(one) && is_healthy(one) && self.may_receive_request(now_ms, one)
+        });
+        let preferred_worker = self.preferred_worker(wanted);
+        let reporting = self.reporting_zones(now_ms, &matching);
+        let available = matching.into_iter().filter(|worker| {
+            let excluded =
+                (any_healthy && !is_healthy(worker)) || (only_proven && !is_proven(worker));
+            let known = self.is_in_own_zone(worker)
+                || reporting.contains(&worker.entry().zone)
                 || worker.is_load_known(now_ms);
-            let spare = if self.is_near(worker) {
+            let spare = if self.is_in_own_zone(worker) {
                 0.0
             } else {
-                FAR_SPARE_SLOTS
+                REMOTE_ZONE_SPARE_SLOTS
             };
-            !passed_over
+            !excluded
                 && (known || explores || !zone_serves)
-                && self.may_start(now_ms, worker)
-                && worker.has_room(now_ms, spare)
+                && self.may_receive_request(now_ms, worker)
+                && worker.has_free_slot(now_ms, spare)
         });
-        let scored = open.map(|worker| {
-            let meets = meeting_point == Some(worker.entry().id.as_str());
-            let prefill_ms = self.prefill_ms(worker, wanted.prompt, meets);
+        let scored = available.map(|worker| {
+            let is_preferred = preferred_worker == Some(worker.entry().id.as_str());
+            let prefill_ms = self.prefill_ms(worker, wanted.prompt, is_preferred);
             (self.cost_ms(now_ms, worker, prefill_ms), worker)
         });
         let mut scored: Vec<(f64, &Worker)> = scored.collect();
         scored.sort_by(|left, right| left.0.total_cmp(&right.0));
         let best = scored.into_iter().find(|(_, worker)| {
             let key = WorkerKey::from_id(&worker.entry().id);
-            may_take(key, worker.free_places(now_ms))
+            may_take(key, worker.free_slots(now_ms))
         });
         match best {
-            Some((_, best)) => Placement::Available(self.chosen(now_ms, best, wanted.prompt)),
+            Some((_, best)) => {
+                Placement::Available(self.to_chosen_worker(now_ms, best, wanted.prompt))
+            }
             None => Placement::Full,
         }
     }
@@ -149,33 +153,33 @@
         wanted: &PlacementRequest<'_>,
     ) -> Option<ChosenWorker> {
         let share = self.settings.batch_share;
-        let asked = self.asked(wanted);
-        let credible = is_hearsay_credible(now_ms, &asked);
-        let sound = |worker: &&Worker| is_sound(now_ms, worker, credible);
+        let matching = self.matching_workers(wanted);
+        let credible = are_peer_reports_credible(now_ms, &matching);
+        let healthy = |worker: &&Worker| is_healthy(now_ms, worker, credible);
         // Items wait for workers that are warm: what cold ones bear is left to calls, unless
         // there are no others.
-        let any_warm = asked
+        let any_warm = matching
             .iter()
-            .any(|one| sound(one) && !self.needs_permit(now_ms, one));
+            .any(|one| healthy(one) && !self.needs_permit(now_ms, one));
         let may_begin = |worker: &&Worker| match any_warm {
             true => !self.needs_permit(now_ms, worker),
-            false => self.may_start(now_ms, worker),
+            false => self.may_receive_request(now_ms, worker),
         };
-        let candidates = || asked.iter().copied().filter(sound).filter(may_begin);
-        let zone_serves = candidates().any(|worker| self.is_near(worker));
-        let with_room = candidates().filter(|worker| {
-            let reached = self.is_near(worker) || !zone_serves;
-            let room = worker.occupied(now_ms) + 1.0 <= worker.slots() * share;
-            reached && room && !worker.is_full(now_ms)
+        let candidates = || matching.iter().copied().filter(healthy).filter(may_begin);
+        let zone_serves = candidates().any(|worker| self.is_in_own_zone(worker));
+        let with_free_slot = candidates().filter(|worker| {
+            let in_reach = self.is_in_own_zone(worker) || !zone_serves;
+            let has_batch_slot = worker.occupied(now_ms) + 1.0 <= worker.slots() * share;
+            in_reach && has_batch_slot && !worker.is_full(now_ms)
         });
-        let scored = with_room.map(|worker| {
-            let filled = worker.occupied(now_ms) / worker.slots();
-            let own = self.prefill_ms(worker, wanted.prompt, false);
-            let reading = (worker.reading_left_ms(now_ms) + own) / READING_SCALE_MS;
-            (filled + reading, worker)
+        let scored = with_free_slot.map(|worker| {
+            let utilization = worker.occupied(now_ms) / worker.slots();
+            let own_prefill_ms = self.prefill_ms(worker, wanted.prompt, false);
+            let prefill = (worker.remaining_prefill_ms(now_ms) + own_prefill_ms) / PREFILL_SCALE_MS;
+            (utilization + prefill, worker)
         });
         let (_, best) = scored.min_by(|left, right| left.0.total_cmp(&right.0))?;
-        Some(self.chosen(now_ms, best, wanted.prompt))
+        Some(self.to_chosen_worker(now_ms, best, wanted.prompt))
     }
 
     /// Items that this node may begin, if `nodes` nodes share the fleet. The
@@ -184,10 +188,10 @@
     pub fn batch_capacity(&self, now_ms: u64, nodes: u32) -> BatchCapacity {
         let share = self.settings.batch_share;
         let free = |worker: &Worker| {
-            let sound = !worker.is_avoided(now_ms) && !self.needs_permit(now_ms, worker);
-            let room = worker.slots() * share - worker.occupied(now_ms);
-            if sound {
-                room.max(0.0)
+            let healthy = !worker.is_avoided(now_ms) && !self.needs_permit(now_ms, worker);
+            let free_slots = worker.slots() * share - worker.occupied(now_ms);
+            if healthy {
+                free_slots.max(0.0)
             } else {
                 0.0
             }
@@ -199,99 +203,107 @@
         let mut zones: Vec<&str> = ready().map(|worker| worker.entry().zone.as_str()).collect();
         zones.sort_unstable();
         zones.dedup();
-        let near: f64 = ready().filter(|one| self.is_near(one)).map(free).sum();
-        let here = zones.contains(&self.zone.as_str());
-        let (room, sharers) = if here {
-            (near, f64::from(nodes) / zones.len() as f64)
+        let local: f64 = ready()
+            .filter(|one| self.is_in_own_zone(one))
+            .map(free)
+            .sum();
+        let has_local_workers = zones.contains(&self.zone.as_str());
+        let (free_slots, sharing_nodes) = if has_local_workers {
+            (local, f64::from(nodes) / zones.len() as f64)
         } else {
             (ready().map(free).sum(), f64::from(nodes))
         };
         BatchCapacity {
-            items: (room / sharers.max(1.0)) as u32,
+            items: (free_slots / sharing_nodes.max(1.0)) as u32,
         }
     }
 
     /// Workers that may be asked at all.
-    fn asked(&self, wanted: &PlacementRequest<'_>) -> Vec<&Worker> {
+    fn matching_workers(&self, wanted: &PlacementRequest<'_>) -> Vec<&Worker> {
         let candidates = self.candidates(wanted.service);
         candidates
             .filter(|worker| !wanted.except.contains(&worker.entry().id))
-            .filter(|worker| self.is_home(wanted.homes, worker))
+            .filter(|worker| self.is_region_allowed(wanted.homes, worker))
             .collect()
     }
 
     /// Whether a worker stands in a region that is allowed.
-    pub(super) fn is_home(&self, homes: &Homes, worker: &Worker) -> bool {
+    pub(super) fn is_region_allowed(&self, homes: &Homes, worker: &Worker) -> bool {
         let region = self.regions.get(&worker.entry().zone);
         homes.allow(region.map(String::as_str))
     }
 
-    pub(super) fn chosen(&self, now_ms: u64, worker: &Worker, prompt: &Prompt) -> ChosenWorker {
+    pub(super) fn to_chosen_worker(
+        &self,
+        now_ms: u64,
+        worker: &Worker,
+        prompt: &Prompt,
+    ) -> ChosenWorker {
         ChosenWorker {
             entry: worker.entry().clone(),
             prefill_ms: self.prefill_ms(worker, prompt, false),
             basis: ChoiceBasis {
                 occupied: worker.occupied(now_ms),
                 load_age_ms: worker.load_age_ms(now_ms),
-                near: self.is_near(worker),
+                near: self.is_in_own_zone(worker),
             },
         }
     }
 
     /// Zones of these workers whose nodes tell what they have in flight.
-    fn heard_zones(&self, now_ms: u64, workers: &[&Worker]) -> Vec<String> {
+    fn reporting_zones(&self, now_ms: u64, workers: &[&Worker]) -> Vec<String> {
         let mut zones: Vec<&str> = workers
             .iter()
             .map(|one| one.entry().zone.as_str())
             .collect();
         zones.sort_unstable();
         zones.dedup();
-        let heard = zones
+        let reporting = zones
             .into_iter()
-            .filter(|zone| self.hears_zone(now_ms, zone));
-        heard.map(str::to_owned).collect()
+            .filter(|zone| self.has_current_zone_report(now_ms, zone));
+        reporting.map(str::to_owned).collect()
     }
 
-    fn is_near(&self, worker: &Worker) -> bool {
+    fn is_in_own_zone(&self, worker: &Worker) -> bool {
         worker.entry().zone == self.zone
     }
 
-    fn prefill_ms(&self, worker: &Worker, prompt: &Prompt, meets: bool) -> f64 {
-        let unread = prompt.tokens - worker.prefixes.known_tokens(prompt).min(prompt.tokens);
-        let whole = unread as f64 / self.settings.prefill_tokens_per_ms;
-        if meets {
-            whole * MEETING_POINT
+    fn prefill_ms(&self, worker: &Worker, prompt: &Prompt, is_preferred: bool) -> f64 {
+        let uncached = prompt.tokens - worker.prefixes.known_tokens(prompt).min(prompt.tokens);
+        let full_prefill_ms = uncached as f64 / self.settings.prefill_tokens_per_ms;
+        if is_preferred {
+            full_prefill_ms * PREFERRED_WORKER_PREFILL_FACTOR
         } else {
-            whole
+            full_prefill_ms
         }
     }
 
     fn cost_ms(&self, now_ms: u64, worker: &Worker, prefill_ms: f64) -> f64 {
         let occupied = worker.occupied(now_ms);
-        let filled = occupied / worker.slots();
-        let mut cost = prefill_ms + worker.reading_left_ms(now_ms);
-        cost += filled * filled * FILLED_MS;
-        if !self.is_near(worker) {
+        let utilization = occupied / worker.slots();
+        let mut cost = prefill_ms + worker.remaining_prefill_ms(now_ms);
+        cost += utilization * utilization * FULL_WORKER_COST_MS;
+        if !self.is_in_own_zone(worker) {
             cost += self.settings.other_zone_ms;
         }
         if worker.is_cold(now_ms) && !self.needs_permit(now_ms, worker) {
-            cost += COLD_MS;
+            cost += COLD_WORKER_COST_MS;
         }
         cost
     }
 
     /// The worker of this zone to which all its nodes send calls with the same
     /// shared prefix, if nothing else counts (rendezvous hashing).
-    fn meeting_point(&self, wanted: &PlacementRequest<'_>) -> Option<&str> {
-        let shared = wanted.prompt.shared()?;
-        let near = self
+    fn preferred_worker(&self, wanted: &PlacementRequest<'_>) -> Option<&str> {
+        let shared = wanted.prompt.shared_prefix()?;
+        let local = self
             .candidates(wanted.service)
-            .filter(|one| self.is_near(one));
-        let first = near.max_by_key(|worker| {
+            .filter(|one| self.is_in_own_zone(one));
+        let preferred = local.max_by_key(|worker| {
             let mut hasher = DefaultHasher::new();
             (shared, worker.entry().id.as_str()).hash(&mut hasher);
             hasher.finish()
         })?;
-        Some(first.entry().id.as_str())
+        Some(preferred.entry().id.as_str())
     }
 }
--- a/crates/pinerill-forward/src/fleet/notice.rs
+++ b/crates/pinerill-forward/src/fleet/eligibility.rs
@@ -10,25 +10,26 @@
 /// Part of the notice kept for the way from the last look at what is known to the worker,
 /// milliseconds: writing the request, and the network. The users' slowest nodes have an
 /// eighth of a core; their calls reach workers 2 to 6 ms after they arrived.
-const SENDING_MS: u64 = 500;
+const SEND_MARGIN_MS: u64 = 500;
 
 /// The lease on the confirmation that a worker stays.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ConfirmationLease {
-    length_ms: u64,
+    duration_ms: u64,
 }
 
 impl ConfirmationLease {
     /// For workers that may get something new up to `notice_ms` after they are shown as leaving.
     pub(super) fn new(notice_ms: u64) -> Self {
         ConfirmationLease {
-            length_ms: notice_ms.saturating_sub(SENDING_MS),
+            duration_ms: notice_ms.saturating_sub(SEND_MARGIN_MS),
         }
     }
 
     /// Whether what was known at a moment may still be acted on.
-    pub(super) fn holds(self, now_ms: u64, known_ms: Option<i64>) -> bool {
-        let until_ms = known_ms.map(|known_ms| known_ms.saturating_add_unsigned(self.length_ms));
+    pub(super) fn is_valid(self, now_ms: u64, confirmed_ms: Option<i64>) -> bool {
+        let until_ms =
+            confirmed_ms.map(|confirmed_ms| confirmed_ms.saturating_add_unsigned(self.duration_ms));
         until_ms.is_some_and(|until_ms| now_ms as i64 <= until_ms)
     }
 }
--- a/crates/pinerill-forward/src/fleet/mod.rs
+++ b/crates/pinerill-forward/src/fleet/mod.rs
@@ -4,9 +4,9 @@
 //! is asked for a worker. Its beliefs carry the time at which they were learnt
 //! and fade with it.
 
-mod births;
 mod choice;
-mod notice;
+mod eligibility;
+mod incarnations;
 mod peers;
 mod prefixes;
 mod slow_start;
@@ -23,12 +23,12 @@
 use pinerill_calls::protocol::LoadSample;
 use pinerill_calls::table::SlowStart;
 
-use self::births::Births;
-use self::notice::ConfirmationLease;
-use self::peers::PeerBook;
+use self::eligibility::ConfirmationLease;
+use self::incarnations::Incarnations;
+use self::peers::PeerReports;
 
 pub use choice::{BatchCapacity, Placement, PlacementRequest};
-pub use notice::Eligibility;
+pub use eligibility::Eligibility;
 pub use peers::{ReportOrder, WorkerCount, WorkerKey};
 pub use prefixes::{PrefixMemory, Prompt};
 pub use slow_start::SlowStartPermit;
@@ -68,12 +68,12 @@
     workers: HashMap<WorkerId, Worker>,
     by_service: HashMap<String, Vec<WorkerId>>,
     by_key: HashMap<WorkerKey, WorkerId>,
-    births: Births,
+    incarnations: Incarnations,
     /// Zones whose workers get nothing new; none before the leader told.
     evacuations: Option<Evacuations>,
     /// How cold workers of a service are spared.
     slow_starts: HashMap<String, SlowStart>,
-    peers: PeerBook,
+    peers: PeerReports,
     /// As of when the directory is what the platform list shows, on the node's clock; before
     /// zero if the list was read before the node began.
     listed_ms: Option<i64>,
@@ -98,10 +98,10 @@
             workers: HashMap::new(),
             by_service: HashMap::new(),
             by_key: HashMap::new(),
-            births: Births::default(),
+            incarnations: Incarnations::default(),
             evacuations: None,
             slow_starts: HashMap::new(),
-            peers: PeerBook::default(),
+            peers: PeerReports::default(),
             listed_ms: None,
         }
     }
@@ -120,14 +120,14 @@
         let mut earlier = std::mem::take(&mut self.workers);
         self.by_service.clear();
         self.by_key.clear();
-        self.births.forget_old(now_ms);
+        self.incarnations.remove_expired(now_ms);
         for entry in entries {
-            if !self.births.is_newest(now_ms, &entry.id) {
+            if !self.incarnations.record_if_newest(now_ms, &entry.id) {
                 continue;
             }
             let worker = match earlier.remove(&entry.id) {
                 Some(mut known) => {
-                    known.take_entry(now_ms, entry);
+                    known.update_entry(now_ms, entry);
                     known
                 }
                 None => Worker::new(now_ms, entry.clone()),
@@ -138,13 +138,14 @@
             let service = self.by_service.entry(entry.service.clone());
             service.or_default().push(entry.id.clone());
         }
-        self.recount_peers();
-        let gone = earlier.into_values();
-        gone.map(|worker| RemovedWorker {
-            is_restarted: self.births.has_newer(&worker.entry().id),
-            entry: worker.entry().clone(),
-        })
-        .collect()
+        self.recompute_peer_counts();
+        let removed = earlier.into_values();
+        removed
+            .map(|worker| RemovedWorker {
+                is_restarted: self.incarnations.has_newer(&worker.entry().id),
+                entry: worker.entry().clone(),
+            })
+            .collect()
     }
 
     /// Takes in a reading of the list that this node made itself and that began at a moment on
@@ -160,9 +161,9 @@
         if self.listed_ms >= Some(began_ms) {
             return None;
         }
-        let gone = self.apply_directory(now_ms, entries);
+        let removed = self.apply_directory(now_ms, entries);
         self.confirm_directory(began_ms);
-        Some(gone)
+        Some(removed)
     }
 
     /// The directory is what the list showed at a moment, or showed since.
@@ -194,7 +195,7 @@
             return Eligibility::Evacuated;
         }
         let lease = ConfirmationLease::new(self.settings.leave_notice_ms);
-        match lease.holds(
+        match lease.is_valid(
             now_ms,
             self.listed_ms
                 .max(worker.confirmed_ms().map(|ms| ms as i64)),
@@ -253,14 +254,15 @@
     /// and the worker is sound. Until `until_ms` it counts as taken.
     pub fn promise_slot(&mut self, now_ms: u64, id: &str, until_ms: u64) -> Option<WorkerKey> {
         let known = self.workers.get(id)?;
-        let is_spared = self.needs_permit(now_ms, known) || self.is_evacuated(&known.entry().zone);
+        let is_restricted =
+            self.needs_permit(now_ms, known) || self.is_evacuated(&known.entry().zone);
         let zone = &self.zone;
         let worker = self.workers.get_mut(id)?;
         let serves = worker.entry().zone == *zone
             && worker.entry().state == WorkerState::Ready
-            && !is_spared
+            && !is_restricted
             && !worker.is_avoided(now_ms)
-            && worker.has_room(now_ms, 0.0);
+            && worker.has_free_slot(now_ms, 0.0);
         serves.then(|| {
             worker.promise_slot(now_ms, until_ms);
             WorkerKey::from_id(id)
@@ -280,11 +282,12 @@
         let fits = entry.service == wanted.service && !wanted.except.contains(&entry.id);
         let serves = entry.state == WorkerState::Ready
             && !self.is_evacuated(&entry.zone)
-            && self.may_start(now_ms, worker)
+            && self.may_receive_request(now_ms, worker)
             && !worker.is_avoided(now_ms);
-        let is_risk = wanted.runs_once && !worker.is_proven(now_ms);
-        let is_home = self.is_home(wanted.homes, worker);
-        (fits && serves && is_home && !is_risk).then(|| self.chosen(now_ms, worker, wanted.prompt))
+        let is_risky = wanted.runs_once && !worker.is_proven(now_ms);
+        let is_region_allowed = self.is_region_allowed(wanted.homes, worker);
+        (fits && serves && is_region_allowed && !is_risky)
+            .then(|| self.to_chosen_worker(now_ms, worker, wanted.prompt))
     }
 
     /// The service of a worker, if it is listed.
@@ -303,7 +306,10 @@
     pub fn record_success(&mut self, now_ms: u64, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
             let service = &worker.entry().service;
-            let cold_ms = self.slow_starts.get(service).map(|one| one.duration_ms);
+            let cold_ms = self
+                .slow_starts
+                .get(service)
+                .map(|slow_start| slow_start.duration_ms);
             worker.record_success(now_ms, cold_ms.unwrap_or(0));
         }
     }
@@ -319,7 +325,7 @@
     pub fn record_suspicion(&mut self, now_ms: u64, node: SocketAddr, key: WorkerKey) {
         let id = self.by_key.get(&key);
         if let Some(worker) = id.and_then(|id| self.workers.get_mut(id)) {
-            worker.suspicion.said(now_ms, node);
+            worker.suspicion.record(now_ms, node);
         }
     }
 
@@ -341,7 +347,7 @@
     /// Notes that another worker answers at this one's address.
     pub fn mark_replaced(&mut self, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.leave();
+            worker.mark_draining();
         }
     }
 
--- a/crates/pinerill-forward/src/fleet/peers.rs
+++ b/crates/pinerill-forward/src/fleet/peers.rs
@@ -13,10 +13,10 @@
 use super::Fleet;
 
 /// Time after which what a silent node or zone told counts no more, milliseconds.
-const TELLER_LIFE_MS: u64 = 1_500;
+const REPORT_LIFETIME_MS: u64 = 1_500;
 
 /// Part of a zone's places that are taken from which on other zones hear of each change.
-const LITTLE_ROOM: f64 = 0.5;
+const IMMEDIATE_REPORT_UTILIZATION: f64 = 0.5;
 
 /// FNV-1a's first value and its multiplier, 32 bits.
 const FNV_OFFSET: u32 = 0x811c_9dc5;
@@ -26,7 +26,7 @@
 const FNV_PRIME_64: u64 = 0x0000_0100_0000_01b3;
 
 /// The finalizer of splitmix64, which spreads numbers that differ little.
-fn finalized(number: u64) -> u64 {
+fn splitmix64_finalize(number: u64) -> u64 {
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     number ^ (number >> 31)
@@ -52,7 +52,7 @@
         let hash = name.bytes().fold(FNV_OFFSET_64, |hash, byte| {
             (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME_64)
         });
-        finalized(hash ^ (u64::from(self.0) << 32 | u64::from(self.0)))
+        splitmix64_finalize(hash ^ (u64::from(self.0) << 32 | u64::from(self.0)))
     }
 }
 
@@ -77,14 +77,14 @@
 impl ReportOrder {
     /// Whether this one comes after a message that was taken in before. Another
     /// start of the teller always does.
-    fn follows(self, earlier: ReportOrder) -> bool {
+    fn is_newer_than(self, earlier: ReportOrder) -> bool {
         self.start != earlier.start || self.sequence > earlier.sequence
     }
 }
 
 /// Whose counts they are.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum Teller {
+enum Reporter {
     /// A node of this zone.
     Node(SocketAddr),
     /// All nodes of another zone.
@@ -93,32 +93,32 @@
 
 /// What each teller told last.
 #[derive(Debug, Default)]
-pub(super) struct PeerBook {
-    told: HashMap<Teller, Told>,
+pub(super) struct PeerReports {
+    by_reporter: HashMap<Reporter, Report>,
 }
 
 #[derive(Debug)]
-struct Told {
+struct Report {
     order: ReportOrder,
-    at_ms: u64,
+    received_ms: u64,
     counts: Vec<WorkerCount>,
 }
 
-impl Told {
-    fn is_old(&self, now_ms: u64) -> bool {
-        now_ms > self.at_ms + TELLER_LIFE_MS
+impl Report {
+    fn is_expired(&self, now_ms: u64) -> bool {
+        now_ms > self.received_ms + REPORT_LIFETIME_MS
     }
 }
 
 impl Fleet {
     /// Requests of this node and places that it promised, by worker.
     pub fn in_flight(&self, now_ms: u64) -> Vec<WorkerCount> {
-        self.counts(|worker| worker.in_flight + worker.promised_slots(now_ms))
+        self.nonzero_counts(|worker| worker.in_flight + worker.promised_slots(now_ms))
     }
 
     /// The same of all nodes of this zone.
     pub fn zone_in_flight(&self, now_ms: u64) -> Vec<WorkerCount> {
-        self.counts(|worker| {
+        self.nonzero_counts(|worker| {
             worker.in_flight + worker.promised_slots(now_ms) + worker.peers_in_flight
         })
     }
@@ -126,25 +126,26 @@
     /// Whether other zones should hear of each change in this one: half of its places or more
     /// are taken, or its requests run elsewhere too.
     pub fn needs_immediate_zone_reports(&self, now_ms: u64) -> bool {
-        let mut taken = 0.0;
-        let mut places = 0.0;
+        let mut occupied_slots = 0.0;
+        let mut total_slots = 0.0;
         for worker in self.workers.values() {
-            let here = worker.in_flight + worker.promised_slots(now_ms) + worker.peers_in_flight;
+            let in_flight =
+                worker.in_flight + worker.promised_slots(now_ms) + worker.peers_in_flight;
             if worker.entry().zone != self.zone {
-                if here > 0 {
+                if in_flight > 0 {
                     return true;
                 }
                 continue;
             }
             if worker.entry().state == WorkerState::Ready {
-                taken += f64::from(here);
-                places += worker.slots();
+                occupied_slots += f64::from(in_flight);
+                total_slots += worker.slots();
             }
         }
-        taken >= places * LITTLE_ROOM
+        occupied_slots >= total_slots * IMMEDIATE_REPORT_UTILIZATION
     }
 
-    fn counts(&self, requests: impl Fn(&super::Worker) -> u32) -> Vec<WorkerCount> {
+    fn nonzero_counts(&self, requests: impl Fn(&super::Worker) -> u32) -> Vec<WorkerCount> {
         let counts = self.workers.iter().map(|(id, worker)| WorkerCount {
             worker: WorkerKey::from_id(id),
             requests: requests(worker),
@@ -161,7 +162,7 @@
         order: ReportOrder,
         counts: Vec<WorkerCount>,
     ) -> bool {
-        self.take_counts(now_ms, Teller::Node(peer), order, counts)
+        self.record_counts(now_ms, Reporter::Node(peer), order, counts)
     }
 
     /// Takes in what all nodes of another zone have in flight; false if something newer
@@ -173,75 +174,75 @@
         order: ReportOrder,
         counts: Vec<WorkerCount>,
     ) -> bool {
-        self.take_counts(now_ms, Teller::Zone(zone.to_owned()), order, counts)
+        self.record_counts(now_ms, Reporter::Zone(zone.to_owned()), order, counts)
     }
 
-    fn take_counts(
+    fn record_counts(
         &mut self,
         now_ms: u64,
-        teller: Teller,
+        reporter: Reporter,
         order: ReportOrder,
         counts: Vec<WorkerCount>,
     ) -> bool {
-        let earlier = self.peers.told.get(&teller);
-        if earlier.is_some_and(|told| !order.follows(told.order)) {
+        let earlier = self.peers.by_reporter.get(&reporter);
+        if earlier.is_some_and(|report| !order.is_newer_than(report.order)) {
             return false;
         }
-        if let Some(earlier) = self.peers.told.remove(&teller) {
-            self.count(&teller, &earlier.counts, false);
+        if let Some(earlier) = self.peers.by_reporter.remove(&reporter) {
+            self.apply_counts(&reporter, &earlier.counts, false);
         }
-        self.count(&teller, &counts, true);
-        let told = Told {
+        self.apply_counts(&reporter, &counts, true);
+        let report = Report {
             order,
-            at_ms: now_ms,
+            received_ms: now_ms,
             counts,
         };
-        self.peers.told.insert(teller, told);
+        self.peers.by_reporter.insert(reporter, report);
         true
     }
 
     /// Whether the nodes of another zone tell what they have in flight.
-    pub(super) fn hears_zone(&self, now_ms: u64, zone: &str) -> bool {
-        let told = self.peers.told.get(&Teller::Zone(zone.to_owned()));
-        told.is_some_and(|told| !told.is_old(now_ms))
+    pub(super) fn has_current_zone_report(&self, now_ms: u64, zone: &str) -> bool {
+        let report = self.peers.by_reporter.get(&Reporter::Zone(zone.to_owned()));
+        report.is_some_and(|report| !report.is_expired(now_ms))
     }
 
     /// Forgets what was told by those that have been silent since.
     pub fn forget_silent_peers(&mut self, now_ms: u64) {
-        let told = self.peers.told.iter();
-        let silent: Vec<Teller> = told
-            .filter(|(_, told)| told.is_old(now_ms))
-            .map(|(teller, _)| teller.clone())
+        let reports = self.peers.by_reporter.iter();
+        let expired: Vec<Reporter> = reports
+            .filter(|(_, report)| report.is_expired(now_ms))
+            .map(|(reporter, _)| reporter.clone())
             .collect();
-        for teller in silent {
-            if let Some(told) = self.peers.told.remove(&teller) {
-                self.count(&teller, &told.counts, false);
+        for reporter in expired {
+            if let Some(report) = self.peers.by_reporter.remove(&reporter) {
+                self.apply_counts(&reporter, &report.counts, false);
             }
         }
     }
 
     /// Counts afresh after the directory has changed.
-    pub(super) fn recount_peers(&mut self) {
+    pub(super) fn recompute_peer_counts(&mut self) {
         for worker in self.workers.values_mut() {
             worker.peers_in_flight = 0;
             worker.zones_in_flight = 0;
         }
-        let told = std::mem::take(&mut self.peers.told);
-        for (teller, told) in &told {
-            self.count(teller, &told.counts, true);
+        let reports = std::mem::take(&mut self.peers.by_reporter);
+        for (reporter, report) in &reports {
+            self.apply_counts(reporter, &report.counts, true);
         }
-        self.peers.told = told;
+        self.peers.by_reporter = reports;
     }
 
-    fn count(&mut self, teller: &Teller, counts: &[WorkerCount], added: bool) {
+    fn apply_counts(&mut self, reporter: &Reporter, counts: &[WorkerCount], added: bool) {
         for count in counts {
             let id = self.by_key.get(&count.worker);
             let Some(worker) = id.and_then(|id| self.workers.get_mut(id)) else {
                 continue;
             };
-            let known = match teller {
-                Teller::Node(_) => &mut worker.peers_in_flight,
-                Teller::Zone(_) => &mut worker.zones_in_flight,
+            let known = match reporter {
+                Reporter::Node(_) => &mut worker.peers_in_flight,
+                Reporter::Zone(_) => &mut worker.zones_in_flight,
             };
             *known = match added {
                 true => known.saturating_add(count.requests),
--- a/crates/pinerill-forward/src/fleet/prefixes.rs
+++ b/crates/pinerill-forward/src/fleet/prefixes.rs
@@ -6,7 +6,7 @@
 use pinerill_calls::protocol::CallHead;
 
 /// Prefixes remembered of one worker; the oldest half gives way.
-const REMEMBERED: usize = 1_024;
+const MAX_PREFIXES: usize = 1_024;
 
 /// A prompt as a chain of shared parts.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -19,7 +19,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Prefix {
-    name: u64,
+    hash: u64,
     tokens: u64,
 }
 
@@ -34,7 +34,7 @@
             part.id.hash(&mut hasher);
             tokens += part.tokens;
             prefixes.push(Prefix {
-                name: hasher.finish(),
+                hash: hasher.finish(),
                 tokens,
             });
         }
@@ -46,9 +46,9 @@
 
     /// Name of the longest prefix that other calls may share: all but the
     /// call's own last part.
-    pub fn shared(&self) -> Option<u64> {
+    pub fn shared_prefix(&self) -> Option<u64> {
         let last_shared = self.prefixes.len().checked_sub(2)?;
-        Some(self.prefixes[last_shared].name)
+        Some(self.prefixes[last_shared].hash)
     }
 }
 
@@ -62,10 +62,10 @@
     /// Notes that the worker reads a prompt.
     pub fn remember(&mut self, now_ms: u64, prompt: &Prompt) {
         for prefix in &prompt.prefixes {
-            self.read_at_ms.insert(prefix.name, now_ms);
+            self.read_at_ms.insert(prefix.hash, now_ms);
         }
-        if self.read_at_ms.len() > REMEMBERED {
-            self.forget_older_half();
+        if self.read_at_ms.len() > MAX_PREFIXES {
+            self.evict_older_half();
         }
     }
 
@@ -75,11 +75,11 @@
             .prefixes
             .iter()
             .rev()
-            .find(|prefix| self.read_at_ms.contains_key(&prefix.name));
+            .find(|prefix| self.read_at_ms.contains_key(&prefix.hash));
         known.map_or(0, |prefix| prefix.tokens)
     }
 
-    fn forget_older_half(&mut self) {
+    fn evict_older_half(&mut self) {
         let mut times: Vec<u64> = self.read_at_ms.values().copied().collect();
         let middle = times.len() / 2;
         let (_, median, _) = times.select_nth_unstable(middle);
--- a/crates/pinerill-forward/src/fleet/slow_start.rs
+++ b/crates/pinerill-forward/src/fleet/slow_start.rs
@@ -29,7 +29,7 @@
     }
 
     /// Whether a request may still go by it.
-    pub fn holds(self, now_ms: u64) -> bool {
+    pub fn is_valid(self, now_ms: u64) -> bool {
         now_ms < self.until_ms
     }
 }
@@ -62,8 +62,8 @@
         let Some(worker) = self.workers.get(id) else {
             return true;
         };
-        let is_held = permit.is_some_and(|permit| permit.holds(now_ms));
-        is_held || !self.needs_permit(now_ms, worker)
+        let has_valid_permit = permit.is_some_and(|permit| permit.is_valid(now_ms));
+        has_valid_permit || !self.needs_permit(now_ms, worker)
     }
 
     /// Whether requests go to a worker with permits alone.
@@ -72,7 +72,7 @@
     }
 
     /// Whether a request could go to a worker now.
-    pub(super) fn may_start(&self, now_ms: u64, worker: &Worker) -> bool {
+    pub(super) fn may_receive_request(&self, now_ms: u64, worker: &Worker) -> bool {
         !self.needs_permit(now_ms, worker) || worker.has_permit(now_ms)
     }
 
@@ -81,16 +81,16 @@
     pub fn cold_workers(&self, now_ms: u64) -> Vec<ColdWorker> {
         let services = self.slow_starts.keys();
         services
-            .flat_map(|service| self.cold_workers_of(service, now_ms))
+            .flat_map(|service| self.cold_workers_for_service(service, now_ms))
             .collect()
     }
 
-    fn cold_workers_of(&self, service: &str, now_ms: u64) -> Vec<ColdWorker> {
+    fn cold_workers_for_service(&self, service: &str, now_ms: u64) -> Vec<ColdWorker> {
         let ready = self.candidates(service);
-        let sound: Vec<&Worker> = ready.filter(|one| !one.is_avoided(now_ms)).collect();
-        let zone_has_any = sound.iter().any(|one| one.entry().zone == self.zone);
-        let wanted = sound.into_iter().filter(|worker| {
-            let in_reach = worker.entry().zone == self.zone || !zone_has_any;
+        let healthy: Vec<&Worker> = ready.filter(|one| !one.is_avoided(now_ms)).collect();
+        let zone_has_healthy = healthy.iter().any(|one| one.entry().zone == self.zone);
+        let wanted = healthy.into_iter().filter(|worker| {
+            let in_reach = worker.entry().zone == self.zone || !zone_has_healthy;
             in_reach && self.needs_permit(now_ms, worker) && !worker.has_permit(now_ms)
         });
         wanted
--- a/crates/pinerill-forward/src/fleet/suspicion.rs
+++ b/crates/pinerill-forward/src/fleet/suspicion.rs
@@ -8,53 +8,55 @@
 use std::net::SocketAddr;
 
 /// Nodes that must say the same.
-const WITNESSES: usize = 2;
+const MIN_REPORTERS: usize = 2;
 /// How long what a node said counts, milliseconds: about as long as a node avoids a
 /// worker that failed it a second time.
-const EVIDENCE_LIFE_MS: u64 = 1_000;
+const SUSPICION_REPORT_LIFETIME_MS: u64 = 1_000;
 /// Part of the workers in question that hearsay may take out; where it names more, rather
 /// the network is at fault.
-const MOST_PART: f64 = 0.34;
+const MAX_SUSPECTED_FRACTION: f64 = 0.34;
 
 /// What is said of one worker.
 #[derive(Debug, Default)]
 pub(super) struct Suspicion {
-    said: Vec<(SocketAddr, u64)>,
+    reports: Vec<(SocketAddr, u64)>,
 }
 
 impl Suspicion {
     /// A node got no answer of the worker.
-    pub(super) fn said(&mut self, now_ms: u64, node: SocketAddr) {
-        self.said
-            .retain(|(other, at_ms)| *other != node && is_fresh(now_ms, *at_ms));
-        self.said.push((node, now_ms));
+    pub(super) fn record(&mut self, now_ms: u64, node: SocketAddr) {
+        self.reports
+            .retain(|(other, reported_ms)| *other != node && is_fresh(now_ms, *reported_ms));
+        self.reports.push((node, now_ms));
     }
 
     /// The worker answered this node.
     pub(super) fn clear(&mut self) {
-        self.said.clear();
+        self.reports.clear();
     }
 
     /// Whether any node got no answer of it a short while ago.
-    pub(super) fn is_raised(&self, now_ms: u64) -> bool {
-        self.said.iter().any(|(_, at_ms)| is_fresh(now_ms, *at_ms))
+    pub(super) fn has_report(&self, now_ms: u64) -> bool {
+        self.reports
+            .iter()
+            .any(|(_, reported_ms)| is_fresh(now_ms, *reported_ms))
     }
 
     /// Whether enough nodes got no answer of it a short while ago.
-    pub(super) fn holds(&self, now_ms: u64) -> bool {
+    pub(super) fn is_corroborated(&self, now_ms: u64) -> bool {
         let fresh = self
-            .said
+            .reports
             .iter()
-            .filter(|(_, at_ms)| is_fresh(now_ms, *at_ms));
-        fresh.count() >= WITNESSES
+            .filter(|(_, reported_ms)| is_fresh(now_ms, *reported_ms));
+        fresh.count() >= MIN_REPORTERS
     }
 }
 
-fn is_fresh(now_ms: u64, at_ms: u64) -> bool {
-    now_ms <= at_ms + EVIDENCE_LIFE_MS
+fn is_fresh(now_ms: u64, reported_ms: u64) -> bool {
+    now_ms <= reported_ms + SUSPICION_REPORT_LIFETIME_MS
 }
 
 /// Whether hearsay that names so many of the workers in question counts.
 pub(super) fn is_credible(suspected: usize, workers: usize) -> bool {
-    suspected as f64 <= workers as f64 * MOST_PART
+    suspected as f64 <= workers as f64 * MAX_SUSPECTED_FRACTION
 }
--- a/crates/pinerill-forward/src/fleet/worker.rs
+++ b/crates/pinerill-forward/src/fleet/worker.rs
@@ -12,24 +12,24 @@
 /// A load sample counts in full up to this age, milliseconds.
 const SAMPLE_FRESH_MS: u64 = 700;
 /// And not at all from this age on.
-const SAMPLE_OLD_MS: u64 = 3_000;
+const SAMPLE_EXPIRED_MS: u64 = 3_000;
 /// Longest time that reading one prompt is believed to take, milliseconds.
-const LONGEST_PREFILL_MS: f64 = 5_000.0;
+const MAX_PREFILL_MS: f64 = 5_000.0;
 /// First time for which a worker that failed is avoided, milliseconds.
-const AVOID_FIRST_MS: u64 = 400;
+const INITIAL_BACKOFF_MS: u64 = 400;
 /// Longest time for which it is avoided.
-const AVOID_LONGEST_MS: u64 = 4_000;
+const MAX_BACKOFF_MS: u64 = 4_000;
 /// Time for which a break that another node told counts, milliseconds. A worker that ends
 /// all connections is tried by some node of a zone more often than that; one that ends few
 /// soon counts as sound again.
-const HEARD_BREAK_MS: u64 = 1_000;
+const PEER_CONNECTION_LOSS_MS: u64 = 1_000;
 /// Time after a worker that failed need not be avoided any more in which only calls that may
 /// run again try it, milliseconds. Where no such calls come, the others must in the end.
 const PROBATION_MS: u64 = 2_000;
 /// Time for which a worker that had no room is avoided.
-const FULL_MS: u64 = 100;
+const FULL_BACKOFF_MS: u64 = 100;
 /// Part of a request by which a worker may seem over its slots: samples fade.
-const ROUNDING: f64 = 0.5;
+const SLOT_TOLERANCE: f64 = 0.5;
 
 /// A worker.
 #[derive(Debug)]
@@ -45,17 +45,17 @@
     promised_until_ms: Vec<u64>,
     /// When it will have read all prompts that are known to be sent there, on
     /// the node's clock, milliseconds.
-    reading_until_ms: f64,
+    prefill_until_ms: f64,
     /// Prompts that it has read.
     pub(super) prefixes: PrefixMemory,
     /// Requests of others there, when that was learnt.
-    others: Option<OthersSample>,
+    other_requests: Option<OtherRequestsSample>,
     failures: u32,
     avoid_until_ms: u64,
     /// What other nodes say of it.
     pub(super) suspicion: Suspicion,
     /// When it last ended a connection on which it had a request of another node.
-    broke_for_others_ms: Option<u64>,
+    peer_connection_lost_ms: Option<u64>,
     full_until_ms: u64,
     /// When it was last asked something whose answer showed that it stays.
     confirmed_ms: Option<u64>,
@@ -68,9 +68,9 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct OthersSample {
+struct OtherRequestsSample {
     requests: u32,
-    at_ms: u64,
+    received_ms: u64,
 }
 
 impl Worker {
@@ -82,13 +82,13 @@
             peers_in_flight: 0,
             zones_in_flight: 0,
             promised_until_ms: Vec::new(),
-            reading_until_ms: 0.0,
+            prefill_until_ms: 0.0,
             prefixes: PrefixMemory::default(),
-            others: None,
+            other_requests: None,
             failures: 0,
             avoid_until_ms: 0,
             suspicion: Suspicion::default(),
-            broke_for_others_ms: None,
+            peer_connection_lost_ms: None,
             full_until_ms: 0,
             confirmed_ms: None,
             may_have_restarted: false,
@@ -102,18 +102,18 @@
     }
 
     /// A worker that was seen leaving never comes back under its identifier.
-    pub(super) fn take_entry(&mut self, now_ms: u64, entry: &WorkerEntry) {
+    pub(super) fn update_entry(&mut self, now_ms: u64, entry: &WorkerEntry) {
         self.extend_cold_period(now_ms, entry.cold_left_ms);
-        let leaving = self.entry.state == WorkerState::Draining;
+        let is_draining = self.entry.state == WorkerState::Draining;
         if *self.entry != *entry {
             self.entry = Arc::new(entry.clone());
         }
-        if leaving {
-            self.leave();
+        if is_draining {
+            self.mark_draining();
         }
     }
 
-    pub(super) fn leave(&mut self) {
+    pub(super) fn mark_draining(&mut self) {
         if self.entry.state != WorkerState::Draining {
             let mut entry = WorkerEntry::clone(&self.entry);
             entry.state = WorkerState::Draining;
@@ -133,20 +133,20 @@
 
     /// A prompt was sent there; it is read after those sent before.
     pub(super) fn expect_prefill(&mut self, now_ms: u64, prefill_ms: f64) {
-        let begins_ms = self.reading_until_ms.max(now_ms as f64);
-        self.reading_until_ms = begins_ms + prefill_ms.clamp(0.0, LONGEST_PREFILL_MS);
+        let prefill_start_ms = self.prefill_until_ms.max(now_ms as f64);
+        self.prefill_until_ms = prefill_start_ms + prefill_ms.clamp(0.0, MAX_PREFILL_MS);
     }
 
     /// Time until it has read what is known to be sent there.
-    pub(super) fn reading_left_ms(&self, now_ms: u64) -> f64 {
-        (self.reading_until_ms - now_ms as f64).max(0.0)
+    pub(super) fn remaining_prefill_ms(&self, now_ms: u64) -> f64 {
+        (self.prefill_until_ms - now_ms as f64).max(0.0)
     }
 
     pub(super) fn record_load(&mut self, now_ms: u64, sample: LoadSample) {
         let all = sample.running + sample.waiting;
-        self.others = Some(OthersSample {
-            requests: all.saturating_sub(self.told_in_flight()),
-            at_ms: now_ms,
+        self.other_requests = Some(OtherRequestsSample {
+            requests: all.saturating_sub(self.known_in_flight()),
+            received_ms: now_ms,
         });
     }
 
@@ -171,12 +171,12 @@
     }
 
     pub(super) fn has_permit(&self, now_ms: u64) -> bool {
-        self.permit.is_some_and(|permit| permit.holds(now_ms))
+        self.permit.is_some_and(|permit| permit.is_valid(now_ms))
     }
 
     /// The permit for the next request there; it serves one.
     pub(super) fn take_permit(&mut self, now_ms: u64) -> Option<SlowStartPermit> {
-        self.permit.take().filter(|permit| permit.holds(now_ms))
+        self.permit.take().filter(|permit| permit.is_valid(now_ms))
     }
 
     /// It answered as it should. If it was gone before, it has started again: it is cold for
@@ -192,36 +192,37 @@
 
     /// Each failure in a row doubles the time for which it is avoided.
     pub(super) fn record_failure(&mut self, now_ms: u64) {
-        let pause = AVOID_FIRST_MS << self.failures.min(8);
+        let backoff_ms = INITIAL_BACKOFF_MS << self.failures.min(8);
         self.failures += 1;
-        self.avoid_until_ms = now_ms + pause.min(AVOID_LONGEST_MS);
+        self.avoid_until_ms = now_ms + backoff_ms.min(MAX_BACKOFF_MS);
     }
 
     pub(super) fn record_peer_connection_loss(&mut self, now_ms: u64) {
-        self.broke_for_others_ms = Some(now_ms);
+        self.peer_connection_lost_ms = Some(now_ms);
     }
 
     /// Whether a call that runs once may be risked there: neither this node's last request
     /// there failed nor that of another one that told it, for a while.
     pub(super) fn is_proven(&self, now_ms: u64) -> bool {
-        let heard_ms = self.broke_for_others_ms;
-        let heard = heard_ms.is_some_and(|at_ms| now_ms < at_ms + HEARD_BREAK_MS);
+        let lost_ms = self.peer_connection_lost_ms;
+        let lost_by_peer =
+            lost_ms.is_some_and(|lost_ms| now_ms < lost_ms + PEER_CONNECTION_LOSS_MS);
         let failed = self.failures > 0 && now_ms < self.avoid_until_ms + PROBATION_MS;
-        !failed && !heard && !self.suspicion.is_raised(now_ms)
+        !failed && !lost_by_peer && !self.suspicion.has_report(now_ms)
     }
 
     pub(super) fn mark_full(&mut self, now_ms: u64) {
-        self.full_until_ms = now_ms + FULL_MS;
+        self.full_until_ms = now_ms + FULL_BACKOFF_MS;
     }
 
     /// Requests there: those of this node, those that other nodes tell of, places that
     /// are promised, and those of others as far as still believed.
     pub(super) fn occupied(&self, now_ms: u64) -> f64 {
-        let known = self.told_in_flight() + self.promised_slots(now_ms);
-        f64::from(known) + self.others_believed(now_ms)
+        let known = self.known_in_flight() + self.promised_slots(now_ms);
+        f64::from(known) + self.estimated_other_requests(now_ms)
     }
 
-    fn told_in_flight(&self) -> u32 {
+    fn known_in_flight(&self) -> u32 {
         self.in_flight + self.peers_in_flight + self.zones_in_flight
     }
 
@@ -238,14 +239,14 @@
     }
 
     /// Whether one more request would begin at once and leave so many slots free.
-    pub(crate) fn has_room(&self, now_ms: u64, spare: f64) -> bool {
-        let filled = self.occupied(now_ms) + 1.0 + spare;
-        !self.is_full(now_ms) && filled <= self.slots() + ROUNDING
+    pub(crate) fn has_free_slot(&self, now_ms: u64, spare: f64) -> bool {
+        let required = self.occupied(now_ms) + 1.0 + spare;
+        !self.is_full(now_ms) && required <= self.slots() + SLOT_TOLERANCE
     }
 
     /// Requests that would begin at once.
-    pub(super) fn free_places(&self, now_ms: u64) -> usize {
-        let free = self.slots() + ROUNDING - self.occupied(now_ms);
+    pub(super) fn free_slots(&self, now_ms: u64) -> usize {
+        let free = self.slots() + SLOT_TOLERANCE - self.occupied(now_ms);
         free.max(0.0) as usize
     }
 
@@ -257,18 +258,18 @@
 
     /// Age of the newest load sample, milliseconds.
     pub(super) fn load_age_ms(&self, now_ms: u64) -> Option<u64> {
-        let sample = self.others?;
-        Some(now_ms.saturating_sub(sample.at_ms))
+        let sample = self.other_requests?;
+        Some(now_ms.saturating_sub(sample.received_ms))
     }
 
-    fn others_believed(&self, now_ms: u64) -> f64 {
-        let Some(sample) = self.others else {
+    fn estimated_other_requests(&self, now_ms: u64) -> f64 {
+        let Some(sample) = self.other_requests else {
             return 0.0;
         };
-        let age = now_ms.saturating_sub(sample.at_ms);
-        let fading = SAMPLE_OLD_MS - SAMPLE_FRESH_MS;
-        let left = SAMPLE_OLD_MS.saturating_sub(age).min(fading);
-        f64::from(sample.requests) * left as f64 / fading as f64
+        let age = now_ms.saturating_sub(sample.received_ms);
+        let fade_ms = SAMPLE_EXPIRED_MS - SAMPLE_FRESH_MS;
+        let remaining_ms = SAMPLE_EXPIRED_MS.saturating_sub(age).min(fade_ms);
+        f64::from(sample.requests) * remaining_ms as f64 / fade_ms as f64
     }
 
     /// Whether it failed a short while ago.
--- a/crates/pinerill-forward/src/fleet/zones.rs
+++ b/crates/pinerill-forward/src/fleet/zones.rs
@@ -8,20 +8,22 @@
     /// Takes in which zones are evacuated, unless something newer is known. Workers of a zone
     /// that was returned to service since may have become cold meanwhile, which the platform
     /// list shows later: they count as cold for as long as after a start.
-    pub fn apply_evacuations(&mut self, now_ms: u64, told: Evacuations) -> bool {
+    pub fn apply_evacuations(&mut self, now_ms: u64, evacuations: Evacuations) -> bool {
         let known = self.evacuations.as_ref().map(Evacuations::revision);
-        if known >= Some(told.revision()) {
+        if known >= Some(evacuations.revision()) {
             return false;
         }
         for worker in self.workers.values_mut() {
             let entry = worker.entry();
             let slow_start = self.slow_starts.get(&entry.service);
-            let cold_ms = slow_start.map(|one| one.duration_ms);
-            if let Some(cold_ms) = cold_ms.filter(|_| told.was_returned_since(known, &entry.zone)) {
+            let cold_ms = slow_start.map(|slow_start| slow_start.duration_ms);
+            if let Some(cold_ms) =
+                cold_ms.filter(|_| evacuations.was_returned_since(known, &entry.zone))
+            {
                 worker.extend_cold_period(now_ms, cold_ms);
             }
         }
-        self.evacuations = Some(told);
+        self.evacuations = Some(evacuations);
         true
     }
 
