--- a/crates/pinerill-forward/src/fleet/choice.rs
+++ b/crates/pinerill-forward/src/fleet/choice.rs
@@ -1,5 +1,5 @@
-//! The choice of a worker: the one at which the first event is expected
-//! soonest, with a price on distance.
+//! Selects a worker for a call or a batch item: the one expected to produce the first event
+//! soonest, with a penalty for other zones.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -11,65 +11,64 @@
 use super::worker::Worker;
 use super::{ChoiceBasis, ChosenWorker, Fleet, WorkerKey};
 
-/// What a full worker costs more than an idle one, milliseconds; it grows with the
-/// square of what is filled. A step takes hardly longer beside other requests, but
-/// what is known of them is a little old, so that the last free slots are the ones
-/// that several nodes take at once.
+/// Cost in milliseconds of a full worker compared with an idle one; it grows with the square of the
+/// utilization. A step takes hardly longer when other requests run beside it, but the known load is
+/// slightly stale, so that several nodes are likely to take the last free slots at once.
 const FULL_WORKER_COST_MS: f64 = 30.0;
-/// What a worker that is still slow after its start costs, milliseconds.
+/// Cost in milliseconds of a worker that is still slow after its start.
 const COLD_WORKER_COST_MS: f64 = 50.0;
-/// Prompts still to be read that weigh as much at the choice for an item as all
-/// slots being taken, milliseconds.
+/// Remaining prefill time in milliseconds that weighs as much as full utilization when a worker is
+/// chosen for a batch item.
 const PREFILL_SCALE_MS: f64 = 200.0;
-/// Part of a prefix's reading time that is counted at the worker to which all
-/// nodes of a zone send that prefix, where this node doesn't know it yet.
+/// Fraction of a prefix's prefill time that is counted at the worker to which all nodes of a zone
+/// send that prefix, while this node does not know whether the worker has processed it.
 const PREFERRED_WORKER_PREFILL_FACTOR: f64 = 0.5;
 
-/// Slots that stay free at a worker of another zone: what is known of it is older
-/// than what its own zone knows.
+/// Slots left free at a worker of another zone, because its known load is staler than within its
+/// own zone.
 const REMOTE_ZONE_SPARE_SLOTS: f64 = 1.0;
 
-/// What a worker is wanted for.
+/// Requirements that a call or batch item has on its worker.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementRequest<'a> {
-    /// The service.
+    /// Name of the service.
     pub service: &'a str,
-    /// The prompt.
+    /// Prompt of the call, from which the prefill time is estimated.
     pub prompt: &'a Prompt,
-    /// Workers that are not to be chosen, by identifier.
+    /// Identifiers of workers that must not be chosen.
     pub except: &'a [WorkerId],
-    /// The call may run once, so that it is lost if its worker fails.
+    /// Whether the call must not be retried, so that it is lost if its worker fails.
     pub runs_once: bool,
-    /// Regions in which it may be served.
+    /// Regions in which the call may be served.
     pub homes: &'a Homes,
 }
 
-/// Where a caller's call may go now.
+/// Result of selecting a worker for a call.
 #[derive(Debug, Clone)]
 pub enum Placement {
-    /// To this worker, which has room.
+    /// The chosen worker has a free slot.
     Available(ChosenWorker),
-    /// No worker that may be asked has room.
+    /// No permitted worker has a free slot.
     Full,
-    /// The service has no worker that may be asked.
+    /// The service has no permitted worker.
     NoWorker,
 }
 
-/// Room for items of jobs.
+/// Capacity available for batch items.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BatchCapacity {
-    /// Items that this node may begin.
+    /// Number of items that this node may start.
     pub items: u32,
 }
 
-/// Whether a worker neither failed this node a short while ago nor, as far as hearsay is
-/// credible, others.
+/// Returns whether a worker has neither recently failed this node nor, if reports are credible,
+/// been reported by enough other nodes.
 fn is_healthy(now_ms: u64, worker: &Worker, credible: bool) -> bool {
     let suspected = credible && worker.suspicion.is_corroborated(now_ms);
     !worker.is_avoided(now_ms) && !suspected
 }
 
-/// Whether what other nodes say of these workers counts.
+/// Returns whether the other nodes' reports about these workers are credible.
 fn are_peer_reports_credible(now_ms: u64, workers: &[&Worker]) -> bool {
     let suspected = workers
         .iter()
@@ -78,24 +77,24 @@
 }
 
 impl Fleet {
-    /// The worker for a caller's call among those that have room. Workers that
-    /// failed a short while ago count only if there is no other. A worker of a zone that
-    /// tells nothing is known only from its answers: one of which nothing is known
-    /// counts if this zone has no sound worker, or if the call `explores`. Of a worker with
-    /// room, and so many free places, `may_take` says whether this node may send there.
+    /// Selects the worker with the lowest cost among those with a free slot. Workers that recently
+    /// failed are considered only if there are no others. The load of workers in a zone that sends
+    /// no reports is known only from their answers: such a worker of unknown load is considered
+    /// only if this zone has no healthy worker or if the call `explores`. `may_send` is called with
+    /// a worker's key and its number of free slots and returns whether this node may send to it.
     ///
-    /// A call that runs once goes to proven workers alone, while there are some: calls that
-    /// may run again find out about the others. A worker that ends each connection at once
-    /// looks idle and draws calls. On a day on which six of 72 workers do so for 5 s and a
-    /// fifth of the calls runs once, 425 tries were answered with a failure before.
+    /// A call that runs once goes only to proven workers while there are any, and calls that may be
+    /// retried probe the others. The reason is that a worker that closes each connection at once
+    /// looks idle and attracts calls. Without this rule, if six of 72 workers do so for 5 s and a
+    /// fifth of the calls run once, 425 attempts are answered with a failure.
     pub fn place(
         &self,
         now_ms: u64,
-        wanted: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         explores: bool,
-        mut may_take: impl FnMut(WorkerKey, usize) -> bool,
+        mut may_send: impl FnMut(WorkerKey, usize) -> bool,
     ) -> Placement {
-        let matching = self.matching_workers(wanted);
+        let matching = self.matching_workers(request);
         if matching.is_empty() {
             return Placement::NoWorker;
         }
@@ -103,11 +102,11 @@
         let is_healthy = |worker: &Worker| is_healthy(now_ms, worker, credible);
         let any_healthy = matching.iter().any(|one| is_healthy(one));
         let is_proven = |worker: &Worker| is_healthy(worker) && worker.is_proven(now_ms);
-        let only_proven = wanted.runs_once && matching.iter().any(|one| is_proven(one));
-        let zone_serves = matching.iter().any(|one| {
+        let only_proven = request.runs_once && matching.iter().any(|one| is_proven(one));
+        let own_zone_serves = matching.iter().any(|one| {
             self.is_in_own_zone(one) && is_healthy(one) && self.may_receive_request(now_ms, one)
         });
-        let preferred_worker = self.preferred_worker(wanted);
+        let preferred_worker = self.preferred_worker(request);
         let reporting = self.reporting_zones(now_ms, &matching);
         let available = matching.into_iter().filter(|worker| {
             let excluded =
@@ -121,43 +120,44 @@
                 REMOTE_ZONE_SPARE_SLOTS
             };
             !excluded
-                && (known || explores || !zone_serves)
+                && (known || explores || !own_zone_serves)
                 && self.may_receive_request(now_ms, worker)
                 && worker.has_free_slot(now_ms, spare)
         });
         let scored = available.map(|worker| {
             let is_preferred = preferred_worker == Some(worker.entry().id.as_str());
-            let prefill_ms = self.prefill_ms(worker, wanted.prompt, is_preferred);
+            let prefill_ms = self.prefill_ms(worker, request.prompt, is_preferred);
             (self.cost_ms(now_ms, worker, prefill_ms), worker)
         });
         let mut scored: Vec<(f64, &Worker)> = scored.collect();
         scored.sort_by(|left, right| left.0.total_cmp(&right.0));
         let best = scored.into_iter().find(|(_, worker)| {
             let key = WorkerKey::from_id(&worker.entry().id);
-            may_take(key, worker.free_slots(now_ms))
+            may_send(key, worker.free_slots(now_ms))
         });
         match best {
             Some((_, best)) => {
-                Placement::Available(self.to_chosen_worker(now_ms, best, wanted.prompt))
+                Placement::Available(self.to_chosen_worker(now_ms, best, request.prompt))
             }
             None => Placement::Full,
         }
     }
 
-    /// The worker for an item of a job: the emptiest in reach that has room
-    /// beside callers' calls. Other zones are in reach while this one has no sound
-    /// worker; items can wait, and nothing is known of the load there.
+    /// Selects the least loaded worker for a batch item that leaves slots free for calls. Workers
+    /// of other zones are considered only while this zone has no healthy worker, because items can
+    /// wait and the load of other zones is unknown. Returns `None` if no worker has capacity for
+    /// the item.
     pub fn choose_for_item(
         &self,
         now_ms: u64,
-        wanted: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
     ) -> Option<ChosenWorker> {
         let share = self.settings.batch_share;
-        let matching = self.matching_workers(wanted);
+        let matching = self.matching_workers(request);
         let credible = are_peer_reports_credible(now_ms, &matching);
         let healthy = |worker: &&Worker| is_healthy(now_ms, worker, credible);
-        // Items wait for workers that are warm: what cold ones bear is left to calls, unless
-        // there are no others.
+        // Items wait for warm workers: the limited capacity of cold workers is left to calls,
+        // unless there are no warm ones.
         let any_warm = matching
             .iter()
             .any(|one| healthy(one) && !self.needs_permit(now_ms, one));
@@ -166,25 +166,26 @@
             false => self.may_receive_request(now_ms, worker),
         };
         let candidates = || matching.iter().copied().filter(healthy).filter(may_begin);
-        let zone_serves = candidates().any(|worker| self.is_in_own_zone(worker));
+        let own_zone_serves = candidates().any(|worker| self.is_in_own_zone(worker));
         let with_free_slot = candidates().filter(|worker| {
-            let in_reach = self.is_in_own_zone(worker) || !zone_serves;
+            let in_reach = self.is_in_own_zone(worker) || !own_zone_serves;
             let has_batch_slot = worker.occupied(now_ms) + 1.0 <= worker.slots() * share;
             in_reach && has_batch_slot && !worker.is_full(now_ms)
         });
         let scored = with_free_slot.map(|worker| {
             let utilization = worker.occupied(now_ms) / worker.slots();
-            let own_prefill_ms = self.prefill_ms(worker, wanted.prompt, false);
+            let own_prefill_ms = self.prefill_ms(worker, request.prompt, false);
             let prefill = (worker.remaining_prefill_ms(now_ms) + own_prefill_ms) / PREFILL_SCALE_MS;
             (utilization + prefill, worker)
         });
         let (_, best) = scored.min_by(|left, right| left.0.total_cmp(&right.0))?;
-        Some(self.to_chosen_worker(now_ms, best, wanted.prompt))
+        Some(self.to_chosen_worker(now_ms, best, request.prompt))
     }
 
-    /// Items that this node may begin, if `nodes` nodes share the fleet. The
-    /// workers of its zone are shared by the nodes of its zone; where there
-    /// are none, all are shared by all.
+    /// Returns how many items this node may start if `nodes` nodes share the fleet. The workers of
+    /// this zone are shared among the nodes of this zone, whose number is estimated as `nodes`
+    /// divided by the number of zones with ready workers. If the zone has no workers, all workers
+    /// are shared among all nodes.
     pub fn batch_capacity(&self, now_ms: u64, nodes: u32) -> BatchCapacity {
         let share = self.settings.batch_share;
         let free = |worker: &Worker| {
@@ -218,16 +219,17 @@
         }
     }
 
-    /// Workers that may be asked at all.
-    fn matching_workers(&self, wanted: &PlacementRequest<'_>) -> Vec<&Worker> {
-        let candidates = self.candidates(wanted.service);
+    /// Returns the ready workers of the service that the request neither excludes nor bars by
+    /// region.
+    fn matching_workers(&self, request: &PlacementRequest<'_>) -> Vec<&Worker> {
+        let candidates = self.candidates(request.service);
         candidates
-            .filter(|worker| !wanted.except.contains(&worker.entry().id))
-            .filter(|worker| self.is_region_allowed(wanted.homes, worker))
+            .filter(|worker| !request.except.contains(&worker.entry().id))
+            .filter(|worker| self.is_region_allowed(request.homes, worker))
             .collect()
     }
 
-    /// Whether a worker stands in a region that is allowed.
+    /// Returns whether a worker is in one of the allowed regions.
     pub(super) fn is_region_allowed(&self, homes: &Homes, worker: &Worker) -> bool {
         let region = self.regions.get(&worker.entry().zone);
         homes.allow(region.map(String::as_str))
@@ -250,7 +252,7 @@
         }
     }
 
-    /// Zones of these workers whose nodes tell what they have in flight.
+    /// Returns the zones of these workers from which current reports exist.
     fn reporting_zones(&self, now_ms: u64, workers: &[&Worker]) -> Vec<String> {
         let mut zones: Vec<&str> = workers
             .iter()
@@ -269,7 +271,7 @@
     }
 
     fn prefill_ms(&self, worker: &Worker, prompt: &Prompt, is_preferred: bool) -> f64 {
-        let uncached = prompt.tokens - worker.prefixes.known_tokens(prompt).min(prompt.tokens);
+        let uncached = prompt.tokens - worker.prefixes.processed_tokens(prompt).min(prompt.tokens);
         let full_prefill_ms = uncached as f64 / self.settings.prefill_tokens_per_ms;
         if is_preferred {
             full_prefill_ms * PREFERRED_WORKER_PREFILL_FACTOR
@@ -292,12 +294,13 @@
         cost
     }
 
-    /// The worker of this zone to which all its nodes send calls with the same
-    /// shared prefix, if nothing else counts (rendezvous hashing).
-    fn preferred_worker(&self, wanted: &PlacementRequest<'_>) -> Option<&str> {
-        let shared = wanted.prompt.shared_prefix()?;
+    /// Returns the worker of this zone to which all its nodes send calls with the same shared
+    /// prefix, all else being equal (rendezvous hashing). `None` if the prompt has no shared prefix
+    /// or the zone has no ready worker of the service.
+    fn preferred_worker(&self, request: &PlacementRequest<'_>) -> Option<&str> {
+        let shared = request.prompt.shared_prefix()?;
         let local = self
-            .candidates(wanted.service)
+            .candidates(request.service)
             .filter(|one| self.is_in_own_zone(one));
         let preferred = local.max_by_key(|worker| {
             let mut hasher = DefaultHasher::new();
--- a/crates/pinerill-forward/src/fleet/eligibility.rs
+++ b/crates/pinerill-forward/src/fleet/eligibility.rs
@@ -1,32 +1,34 @@
-//! For how long a worker may be sent to on the strength of what is known of it.
+//! Decides how long a worker may be sent requests after it was last confirmed as staying.
 //!
-//! The platform list shows a worker as leaving before it ends, and from a bounded time later on
-//! nothing new may reach it. What a node knows of a worker is as old as the reading of the list,
-//! or the answer of the worker's own, that told it. Invariant: a request is sent only to a
-//! worker that was known to stay at a moment so short a time ago that, had it been shown as
-//! leaving right behind that moment, the request would still arrive within the notice. So the
-//! bound needs no news to arrive: without news, knowledge runs out.
+//! The platform list shows a worker as leaving before it ends. From a bounded time after that, the
+//! notice, no new request may reach it. A node's knowledge of a worker is as old as the list
+//! reading or the worker's own answer that confirmed it. Invariant: a request is sent only if the
+//! worker was confirmed so recently that, had the list shown it as leaving right after that
+//! confirmation, the request would still arrive within the notice. The bound therefore does not
+//! depend on any update being delivered: without updates, the confirmation expires.
 
-/// Part of the notice kept for the way from the last look at what is known to the worker,
-/// milliseconds: writing the request, and the network. The users' slowest nodes have an
-/// eighth of a core; their calls reach workers 2 to 6 ms after they arrived.
+/// Part of the notice in milliseconds reserved for the time between the last eligibility check and
+/// the arrival of the request at the worker: writing the request, and the network. Calls on the
+/// slowest nodes, which have an eighth of a core, reach workers 2 to 6 ms after they arrive.
 const SEND_MARGIN_MS: u64 = 500;
 
-/// The lease on the confirmation that a worker stays.
+/// Validity period of a confirmation that a worker stays.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ConfirmationLease {
     duration_ms: u64,
 }
 
 impl ConfirmationLease {
-    /// For workers that may get something new up to `notice_ms` after they are shown as leaving.
+    /// Creates the lease for workers that accept new requests until `notice_ms` milliseconds after
+    /// they are first shown as leaving.
     pub(super) fn new(notice_ms: u64) -> Self {
         ConfirmationLease {
             duration_ms: notice_ms.saturating_sub(SEND_MARGIN_MS),
         }
     }
 
-    /// Whether what was known at a moment may still be acted on.
+    /// Returns whether a confirmation at `confirmed_ms` is still valid. `None` means that the
+    /// worker was never confirmed, which is never valid.
     pub(super) fn is_valid(self, now_ms: u64, confirmed_ms: Option<i64>) -> bool {
         let until_ms =
             confirmed_ms.map(|confirmed_ms| confirmed_ms.saturating_add_unsigned(self.duration_ms));
@@ -34,15 +36,15 @@
     }
 }
 
-/// Whether a worker may be sent something new.
+/// Whether a worker may be sent new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Eligibility {
-    /// It was known to stay a short while ago.
+    /// The worker was confirmed as staying recently enough.
     Confirmed,
-    /// What is known of it is too old: its health must be checked first.
+    /// The last confirmation has expired: the worker's health must be checked first.
     Unconfirmed,
-    /// It is leaving, or gone.
+    /// The worker is draining or no longer listed.
     Leaving,
-    /// Its zone is evacuated.
+    /// The worker's zone is evacuated.
     Evacuated,
 }
--- a/crates/pinerill-forward/src/fleet/incarnations.rs
+++ b/crates/pinerill-forward/src/fleet/incarnations.rs
@@ -1,14 +1,15 @@
-//! Which start of a worker is the newest. Pure.
+//! Tracks the newest incarnation (start) of each worker.
 //!
-//! News of workers come by several ways and out of order: a directory that is older than
-//! the one before must not bring an earlier start of a worker back.
+//! Directories reach a node from several sources and out of order. [`super::Fleet`] consults this
+//! record so that an older directory does not bring back an earlier incarnation of a worker. The
+//! module does no I/O and reads no clock.
 
 use std::collections::HashMap;
 
 use pinerill_calls::directory::WorkerId;
 
-/// Time for which the newest start of a worker that is listed no more is remembered,
-/// milliseconds: far beyond the age of any directory that is still believed.
+/// Time in milliseconds for which the newest incarnation of a worker is remembered after it was
+/// last listed. It far exceeds the age up to which a directory is used.
 const RETENTION_MS: u64 = 60_000;
 
 #[derive(Debug, Clone, Copy)]
@@ -17,14 +18,15 @@
     listed_ms: u64,
 }
 
-/// The newest start of each worker, by name.
+/// Newest known incarnation of each worker, by worker name.
 #[derive(Debug, Default)]
 pub(super) struct Incarnations {
     by_name: HashMap<String, NewestIncarnation>,
 }
 
 impl Incarnations {
-    /// Notes a start that is listed; false if a later one was listed before.
+    /// Records a listed incarnation and returns true, or returns false if a later one was listed
+    /// before.
     pub(super) fn record_if_newest(&mut self, now_ms: u64, worker: &WorkerId) -> bool {
         let started_at_ms = worker.started_at_ms();
         let Some(known) = self.by_name.get_mut(worker.name()) else {
@@ -43,13 +45,13 @@
         true
     }
 
-    /// Whether a later start of this worker was listed.
+    /// Returns whether a later incarnation of this worker has been listed.
     pub(super) fn has_newer(&self, worker: &WorkerId) -> bool {
         let known = self.by_name.get(worker.name());
         known.is_some_and(|newest| newest.started_at_ms > worker.started_at_ms())
     }
 
-    /// Forgets what was listed long ago.
+    /// Removes workers that have not been listed for [`RETENTION_MS`].
     pub(super) fn remove_expired(&mut self, now_ms: u64) {
         self.by_name
             .retain(|_, newest| now_ms <= newest.listed_ms + RETENTION_MS);
--- a/crates/pinerill-forward/src/fleet/mod.rs
+++ b/crates/pinerill-forward/src/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! Workers as this node sees them, and the choice of one.
+//! Each node's view of all workers, and the selection of a worker for a request.
 //!
-//! [`Fleet`] is pure: it is told of directories, load samples and failures and
-//! is asked for a worker. Its beliefs carry the time at which they were learnt
-//! and fade with it.
+//! [`Fleet`] does no I/O and reads no clock: its caller passes in the time, directories, load
+//! samples, failures and reports of other nodes, and asks it for a worker. Estimates carry the time
+//! at which they were received, and expire or fade with age.
 
 mod choice;
 mod eligibility;
@@ -34,16 +34,18 @@
 pub use slow_start::SlowStartPermit;
 pub use worker::Worker;
 
-/// Weights of the choice.
+/// Settings for the selection of workers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ChoiceSettings {
-    /// Prompt tokens that a worker reads in a millisecond.
+    /// Prompt tokens that a worker processes per millisecond.
     pub prefill_tokens_per_ms: f64,
-    /// What a worker in another zone costs, milliseconds.
+    /// Cost in milliseconds of a worker in another zone.
     pub other_zone_ms: f64,
-    /// Part of a worker's slots up to which items of jobs begin there; calls count.
+    /// Fraction of a worker's slots up to which batch items start there; slots in use by calls
+    /// count towards it.
     pub batch_share: f64,
-    /// Time from a worker's notice after which nothing new may reach it, milliseconds.
+    /// Time in milliseconds, from when a worker is shown as leaving, after which no new request may
+    /// reach it.
     pub leave_notice_ms: u64,
 }
 
@@ -58,38 +60,39 @@
     }
 }
 
-/// All workers, by service.
+/// All known workers, by identifier and by service, as seen from one zone.
 #[derive(Debug)]
 pub struct Fleet {
     zone: String,
-    /// Regions of the zones, as far as they are known.
+    /// Regions of the zones; zones without a known region are missing.
     regions: BTreeMap<String, String>,
     settings: ChoiceSettings,
     workers: HashMap<WorkerId, Worker>,
     by_service: HashMap<String, Vec<WorkerId>>,
     by_key: HashMap<WorkerKey, WorkerId>,
     incarnations: Incarnations,
-    /// Zones whose workers get nothing new; none before the leader told.
+    /// Zones whose workers receive no new requests. `None` before the leader has sent any state.
     evacuations: Option<Evacuations>,
-    /// How cold workers of a service are spared.
+    /// Slow-start settings of the services that limit requests to cold workers.
     slow_starts: HashMap<String, SlowStart>,
     peers: PeerReports,
-    /// As of when the directory is what the platform list shows, on the node's clock; before
-    /// zero if the list was read before the node began.
+    /// Time on the node's clock as of which the directory matches the platform list. Negative if
+    /// the list was read before the node started, `None` before the first confirmation.
     listed_ms: Option<i64>,
 }
 
-/// A worker that the directory names no more.
+/// A worker that is no longer listed in the directory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RemovedWorker {
-    /// Its last entry.
+    /// Last directory entry of the worker.
     pub entry: Arc<WorkerEntry>,
-    /// It has started again since, so that its process has ended for certain.
+    /// Whether a later incarnation of the worker is listed, so that its process has certainly
+    /// ended.
     pub is_restarted: bool,
 }
 
 impl Fleet {
-    /// A fleet without workers, seen from a zone.
+    /// Creates a fleet without workers, as seen from `zone`.
     pub fn new(zone: &str, settings: ChoiceSettings) -> Self {
         Fleet {
             zone: zone.to_owned(),
@@ -106,16 +109,16 @@
         }
     }
 
-    /// The same fleet with the region of each zone.
+    /// Sets the region of each zone.
     pub fn with_regions(mut self, regions: BTreeMap<String, String>) -> Self {
         self.regions = regions;
         self
     }
 
-    /// Takes in a whole directory. What is known of workers that stay is kept;
-    /// one that was seen leaving stays so. Of a worker that has started again only the
-    /// newest start that was ever listed counts, and nothing that was known of it before.
-    /// Returns the workers that are gone.
+    /// Replaces the directory and returns the workers that are no longer listed. The state of
+    /// workers that remain is kept, and a worker that was draining stays so. Of a restarted worker
+    /// only the newest incarnation ever listed counts, and it starts without the state of earlier
+    /// ones.
     pub fn apply_directory(&mut self, now_ms: u64, entries: &[WorkerEntry]) -> Vec<RemovedWorker> {
         let mut earlier = std::mem::take(&mut self.workers);
         self.by_service.clear();
@@ -148,10 +151,10 @@
             .collect()
     }
 
-    /// Takes in a reading of the list that this node made itself and that began at a moment on
-    /// its clock. None, and nothing is taken, if the directory shows the list as of a later
-    /// moment: a reading of many slow pages may end behind the leader's news, and would bring
-    /// back a worker that is gone as one that stays.
+    /// Applies a listing that this node read itself and whose read began at `began_ms` on its
+    /// clock. Returns `None` and changes nothing if the directory is already confirmed as of that
+    /// time or later. Without this check, a read of many slow pages that ends after a newer update
+    /// from the leader would bring back a removed worker as one that stays.
     pub fn apply_listing(
         &mut self,
         now_ms: u64,
@@ -166,24 +169,26 @@
         Some(removed)
     }
 
-    /// The directory is what the list showed at a moment, or showed since.
+    /// Records that the directory matches the platform list as of `listed_ms` or later.
     pub fn confirm_directory(&mut self, listed_ms: i64) {
         self.listed_ms = self.listed_ms.max(Some(listed_ms));
     }
 
-    /// As of when the directory is known to be what the list shows.
+    /// Returns the time as of which the directory is known to match the platform list, or `None` if
+    /// it was never confirmed.
     pub fn listed_ms(&self) -> Option<i64> {
         self.listed_ms
     }
 
-    /// A worker said of itself that it stays, when it was asked at that moment.
+    /// Records that a worker, when asked at `asked_ms`, confirmed that it stays.
     pub fn confirm_worker(&mut self, asked_ms: u64, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.confirm(asked_ms);
         }
     }
 
-    /// Whether a worker may be sent something new now.
+    /// Returns whether a worker may be sent a new request now. Workers that are not listed count as
+    /// leaving.
     pub fn eligibility(&self, now_ms: u64, id: &str) -> Eligibility {
         let Some(worker) = self.workers.get(id) else {
             return Eligibility::Leaving;
@@ -205,18 +210,18 @@
         }
     }
 
-    /// Whether the directory has any worker.
+    /// Returns whether the directory lists no workers.
     pub fn is_empty(&self) -> bool {
         self.workers.is_empty()
     }
 
-    /// The worker, if it is still listed.
+    /// Returns the worker, or `None` if it is not listed.
     pub fn worker(&self, id: &str) -> Option<&Worker> {
         self.workers.get(id)
     }
 
-    /// Notes that a request of this node is sent there, whose prompt takes
-    /// some time to read. Returns the permit with which it goes, if one is held.
+    /// Records that this node sends the worker a request with an estimated prefill time. Returns
+    /// the slow-start permit that the request uses up, if a valid one is held.
     pub fn begin_request(
         &mut self,
         now_ms: u64,
@@ -229,29 +234,29 @@
         worker.take_permit(now_ms)
     }
 
-    /// The same by the worker's key.
+    /// Like [`Fleet::expect_prefill`], with the worker given by its key.
     pub fn expect_prefill_at(&mut self, now_ms: u64, key: WorkerKey, prefill_ms: f64) {
         if let Some(id) = self.by_key.get(&key).cloned() {
             self.expect_prefill(now_ms, &id, prefill_ms);
         }
     }
 
-    /// Notes that another node sent a prompt there.
+    /// Records that another node sent the worker a prompt with this estimated prefill time.
     pub fn expect_prefill(&mut self, now_ms: u64, id: &str, prefill_ms: f64) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.expect_prefill(now_ms, prefill_ms);
         }
     }
 
-    /// Notes that a request there has ended.
+    /// Records that one of this node's requests at the worker has ended.
     pub fn end_request(&mut self, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.in_flight = worker.in_flight.saturating_sub(1);
         }
     }
 
-    /// Promises a place at a worker of this zone to another node, if one is free there
-    /// and the worker is sound. Until `until_ms` it counts as taken.
+    /// Promises a slot at a worker of this zone to another node. The slot counts as occupied until
+    /// `until_ms`. Returns `None` if the worker has no free slot or may not be sent requests.
     pub fn promise_slot(&mut self, now_ms: u64, id: &str, until_ms: u64) -> Option<WorkerKey> {
         let known = self.workers.get(id)?;
         let is_restricted =
@@ -269,40 +274,40 @@
         })
     }
 
-    /// The worker of a place that was promised or handed over, if the call may go there: one
-    /// that runs once only if the worker is proven.
+    /// Returns the worker of a slot that was promised or handed over to this node, if the request
+    /// may go there. A call that runs once may go only to a proven worker.
     pub fn promised_worker(
         &self,
         now_ms: u64,
         key: WorkerKey,
-        wanted: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
     ) -> Option<ChosenWorker> {
         let worker = self.workers.get(self.by_key.get(&key)?)?;
         let entry = worker.entry();
-        let fits = entry.service == wanted.service && !wanted.except.contains(&entry.id);
+        let fits = entry.service == request.service && !request.except.contains(&entry.id);
         let serves = entry.state == WorkerState::Ready
             && !self.is_evacuated(&entry.zone)
             && self.may_receive_request(now_ms, worker)
             && !worker.is_avoided(now_ms);
-        let is_risky = wanted.runs_once && !worker.is_proven(now_ms);
-        let is_region_allowed = self.is_region_allowed(wanted.homes, worker);
+        let is_risky = request.runs_once && !worker.is_proven(now_ms);
+        let is_region_allowed = self.is_region_allowed(request.homes, worker);
         (fits && serves && is_region_allowed && !is_risky)
-            .then(|| self.to_chosen_worker(now_ms, worker, wanted.prompt))
+            .then(|| self.to_chosen_worker(now_ms, worker, request.prompt))
     }
 
-    /// The service of a worker, if it is listed.
+    /// Returns the service of a worker, or `None` if the worker is not listed.
     pub fn service_of(&self, id: &str) -> Option<&str> {
         Some(self.workers.get(id)?.entry().service.as_str())
     }
 
-    /// Takes in a load sample of an answer.
+    /// Records the load sample of a worker's answer.
     pub fn record_load(&mut self, now_ms: u64, id: &str, sample: LoadSample) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.record_load(now_ms, sample);
         }
     }
 
-    /// Notes that a worker answered as it should.
+    /// Records a successful answer of a worker.
     pub fn record_success(&mut self, now_ms: u64, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
             let service = &worker.entry().service;
@@ -314,14 +319,14 @@
         }
     }
 
-    /// Notes that a worker could not be reached, broke off or was silent.
+    /// Records that a worker was unreachable, broke the connection or did not answer in time.
     pub fn record_failure(&mut self, now_ms: u64, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.record_failure(now_ms);
         }
     }
 
-    /// Another node got no answer of a worker.
+    /// Records that another node got no answer from a worker.
     pub fn record_suspicion(&mut self, now_ms: u64, node: SocketAddr, key: WorkerKey) {
         let id = self.by_key.get(&key);
         if let Some(worker) = id.and_then(|id| self.workers.get_mut(id)) {
@@ -329,7 +334,7 @@
         }
     }
 
-    /// A worker ended a connection on which it had a request of another node.
+    /// Records that a worker ended a connection that carried another node's request.
     pub fn record_peer_connection_loss(&mut self, now_ms: u64, key: WorkerKey) {
         let id = self.by_key.get(&key);
         if let Some(worker) = id.and_then(|id| self.workers.get_mut(id)) {
@@ -337,21 +342,21 @@
         }
     }
 
-    /// Notes that a worker had no room.
+    /// Records that a worker reported that it has no free slot.
     pub fn mark_full(&mut self, now_ms: u64, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.mark_full(now_ms);
         }
     }
 
-    /// Notes that another worker answers at this one's address.
+    /// Marks a worker as draining, because another worker answers at its address.
     pub fn mark_replaced(&mut self, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.mark_draining();
         }
     }
 
-    /// Remembers that a worker has read a prompt.
+    /// Records that a worker has processed a prompt.
     pub fn remember_prompt(&mut self, now_ms: u64, id: &str, prompt: &Prompt) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.prefixes.remember(now_ms, prompt);
@@ -367,26 +372,25 @@
     }
 }
 
-/// A chosen worker.
+/// Worker selected for a request.
 #[derive(Debug, Clone)]
 pub struct ChosenWorker {
-    /// The worker.
+    /// Directory entry of the worker.
     pub entry: Arc<WorkerEntry>,
-    /// Time that reading the prompt is expected to take there, milliseconds.
+    /// Estimated time in milliseconds to process the prompt there.
     pub prefill_ms: f64,
-    /// What decided.
+    /// State of the worker on which the selection was based.
     pub basis: ChoiceBasis,
 }
 
-/// What was believed of a worker as it was chosen.
+/// Estimates about a worker at the time of its selection, for the log.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ChoiceBasis {
-    /// Requests there.
+    /// Estimated number of requests at the worker.
     pub occupied: f64,
-    /// Age of what others are believed to do there, milliseconds; none if
-    /// nothing is known of it.
+    /// Age in milliseconds of the last load sample; `None` if there is none.
     pub load_age_ms: Option<u64>,
-    /// It is in this node's zone.
+    /// Whether the worker is in this node's zone.
     pub near: bool,
 }
 
--- a/crates/pinerill-forward/src/fleet/peers.rs
+++ b/crates/pinerill-forward/src/fleet/peers.rs
@@ -1,8 +1,8 @@
-//! What other nodes have in flight, as they tell.
+//! Tracks the requests that other nodes have in flight, as they report them.
 //!
-//! A node of this zone tells its own counts, a relay of another zone those of all
-//! nodes there. Both tell whole counts, never differences, so that a message that is
-//! lost is made good by the next one. What a silent teller told is forgotten.
+//! Each node of this zone reports its own counts, and a relay in each other zone reports the counts
+//! of all nodes there. Reports carry full counts rather than differences, so that the next report
+//! makes up for a lost one. The counts of a reporter that has fallen silent are discarded.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,33 +12,33 @@
 
 use super::Fleet;
 
-/// Time after which what a silent node or zone told counts no more, milliseconds.
+/// Time in milliseconds after which the last report of a silent node or zone no longer counts.
 const REPORT_LIFETIME_MS: u64 = 1_500;
 
-/// Part of a zone's places that are taken from which on other zones hear of each change.
+/// Fraction of a zone's slots in use from which each change is reported to other zones immediately.
 const IMMEDIATE_REPORT_UTILIZATION: f64 = 0.5;
 
-/// FNV-1a's first value and its multiplier, 32 bits.
+/// Offset basis and prime of the 32-bit FNV-1a hash.
 const FNV_OFFSET: u32 = 0x811c_9dc5;
 const FNV_PRIME: u32 = 0x0100_0193;
-/// The same, 64 bits.
+/// Offset basis and prime of the 64-bit FNV-1a hash.
 const FNV_OFFSET_64: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME_64: u64 = 0x0000_0100_0000_01b3;
 
-/// The finalizer of splitmix64, which spreads numbers that differ little.
+/// Applies the splitmix64 finalizer, which spreads inputs that differ in few bits.
 fn splitmix64_finalize(number: u64) -> u64 {
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     number ^ (number >> 31)
 }
 
-/// A short name of a worker for messages between nodes: a hash of its identifier.
-/// Two workers of one key would cost a worse choice and nothing else.
+/// Short identifier of a worker in messages between nodes: a 32-bit hash of the worker's
+/// identifier. A collision only makes the choice of a worker less accurate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct WorkerKey(u32);
 
 impl WorkerKey {
-    /// The key of a worker's identifier, the same at every node.
+    /// Returns the key for a worker identifier; every node computes the same key.
     pub fn from_id(worker: &str) -> Self {
         let hash = worker.bytes().fold(FNV_OFFSET, |hash, byte| {
             (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME)
@@ -46,7 +46,7 @@
         WorkerKey(hash)
     }
 
-    /// A number drawn by worker and node, the same at every node.
+    /// Returns a hash of the worker and a node; every node computes the same value.
     pub fn hash_with_node(self, node: SocketAddr) -> u64 {
         let name = node.to_string();
         let hash = name.bytes().fold(FNV_OFFSET_64, |hash, byte| {
@@ -56,42 +56,42 @@
     }
 }
 
-/// Requests at one worker.
+/// Number of requests at one worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerCount {
-    /// The worker.
+    /// Key of the worker's identifier.
     pub worker: WorkerKey,
-    /// Requests there.
+    /// Requests in flight there, including slots promised to other nodes.
     pub requests: u32,
 }
 
-/// Which of two messages of a teller is the newer one.
+/// Position of a report among all reports of the same reporter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportOrder {
-    /// Number drawn at the teller's start.
+    /// Random number drawn when the reporter starts.
     pub start: u64,
-    /// Grows with each message of that start.
+    /// Number that increases with each report of the same start.
     pub sequence: u64,
 }
 
 impl ReportOrder {
-    /// Whether this one comes after a message that was taken in before. Another
-    /// start of the teller always does.
+    /// Returns whether this report supersedes an `earlier` one of the same reporter. A report from
+    /// a different start always does.
     fn is_newer_than(self, earlier: ReportOrder) -> bool {
         self.start != earlier.start || self.sequence > earlier.sequence
     }
 }
 
-/// Whose counts they are.
+/// Sender of a report.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Reporter {
     /// A node of this zone.
     Node(SocketAddr),
-    /// All nodes of another zone.
+    /// The relay of another zone, on behalf of all nodes there.
     Zone(String),
 }
 
-/// What each teller told last.
+/// Last report of each reporter.
 #[derive(Debug, Default)]
 pub(super) struct PeerReports {
     by_reporter: HashMap<Reporter, Report>,
@@ -111,20 +111,22 @@
 }
 
 impl Fleet {
-    /// Requests of this node and places that it promised, by worker.
+    /// Returns this node's requests in flight plus the slots it has promised to other nodes, by
+    /// worker. Workers without any are left out.
     pub fn in_flight(&self, now_ms: u64) -> Vec<WorkerCount> {
         self.nonzero_counts(|worker| worker.in_flight + worker.promised_slots(now_ms))
     }
 
-    /// The same of all nodes of this zone.
+    /// Returns the same counts for all nodes of this zone together.
     pub fn zone_in_flight(&self, now_ms: u64) -> Vec<WorkerCount> {
         self.nonzero_counts(|worker| {
             worker.in_flight + worker.promised_slots(now_ms) + worker.peers_in_flight
         })
     }
 
-    /// Whether other zones should hear of each change in this one: half of its places or more
-    /// are taken, or its requests run elsewhere too.
+    /// Returns whether each change of this zone's counts should be reported to other zones
+    /// immediately: at least half of its slots are in use, or its nodes have requests at workers of
+    /// other zones.
     pub fn needs_immediate_zone_reports(&self, now_ms: u64) -> bool {
         let mut occupied_slots = 0.0;
         let mut total_slots = 0.0;
@@ -153,8 +155,8 @@
         counts.filter(|count| count.requests > 0).collect()
     }
 
-    /// Takes in what a node of this zone has in flight; false if something newer came
-    /// before.
+    /// Records the counts that a node of this zone reports. Returns false, and changes nothing, if
+    /// the same or a newer report of that node arrived before.
     pub fn record_peer_counts(
         &mut self,
         now_ms: u64,
@@ -165,8 +167,8 @@
         self.record_counts(now_ms, Reporter::Node(peer), order, counts)
     }
 
-    /// Takes in what all nodes of another zone have in flight; false if something newer
-    /// came before.
+    /// Records the counts that another zone reports. Returns false, and changes nothing, if the
+    /// same or a newer report of that zone's relay arrived before.
     pub fn record_zone_counts(
         &mut self,
         now_ms: u64,
@@ -201,13 +203,13 @@
         true
     }
 
-    /// Whether the nodes of another zone tell what they have in flight.
+    /// Returns whether an unexpired report from another zone exists.
     pub(super) fn has_current_zone_report(&self, now_ms: u64, zone: &str) -> bool {
         let report = self.peers.by_reporter.get(&Reporter::Zone(zone.to_owned()));
         report.is_some_and(|report| !report.is_expired(now_ms))
     }
 
-    /// Forgets what was told by those that have been silent since.
+    /// Discards the counts of reporters whose last report has expired.
     pub fn forget_silent_peers(&mut self, now_ms: u64) {
         let reports = self.peers.by_reporter.iter();
         let expired: Vec<Reporter> = reports
@@ -221,7 +223,7 @@
         }
     }
 
-    /// Counts afresh after the directory has changed.
+    /// Recomputes the per-worker counts from all reports, after the directory has changed.
     pub(super) fn recompute_peer_counts(&mut self) {
         for worker in self.workers.values_mut() {
             worker.peers_in_flight = 0;
--- a/crates/pinerill-forward/src/fleet/prefixes.rs
+++ b/crates/pinerill-forward/src/fleet/prefixes.rs
@@ -1,19 +1,20 @@
-//! Which prompts a worker has read, so that it need not read them again.
+//! Tracks which prompt prefixes a worker has processed, so that calls can go to a worker that need
+//! not process them again.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use pinerill_calls::protocol::CallHead;
 
-/// Prefixes remembered of one worker; the oldest half gives way.
+/// Maximum number of prefixes remembered per worker; beyond it, the older half is evicted.
 const MAX_PREFIXES: usize = 1_024;
 
-/// A prompt as a chain of shared parts.
+/// A prompt as a sequence of parts that other prompts may share.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Tokens of the whole prompt.
+    /// Length of the whole prompt in tokens.
     pub tokens: u64,
-    /// Each prefix of parts: its name, and the tokens up to its end.
+    /// Prefixes that end at a part boundary, from the shortest to the longest.
     prefixes: Vec<Prefix>,
 }
 
@@ -24,7 +25,7 @@
 }
 
 impl Prompt {
-    /// The prompt that a call's head tells.
+    /// Builds the prompt from the prompt parts in a call's head.
     pub fn from_call(call: &CallHead) -> Self {
         let mut hasher = DefaultHasher::new();
         call.model.hash(&mut hasher);
@@ -44,46 +45,46 @@
         }
     }
 
-    /// Name of the longest prefix that other calls may share: all but the
-    /// call's own last part.
+    /// Returns the hash of the longest prefix that other calls may share: all parts except the
+    /// last, which belongs to this call. `None` if the prompt has fewer than two parts.
     pub fn shared_prefix(&self) -> Option<u64> {
         let last_shared = self.prefixes.len().checked_sub(2)?;
         Some(self.prefixes[last_shared].hash)
     }
 }
 
-/// Prefixes that a worker has read.
+/// Prefixes that a worker has processed: when each was last seen, by prefix hash.
 #[derive(Debug, Default)]
 pub struct PrefixMemory {
-    read_at_ms: HashMap<u64, u64>,
+    processed_at_ms: HashMap<u64, u64>,
 }
 
 impl PrefixMemory {
-    /// Notes that the worker reads a prompt.
+    /// Records at `now_ms` that the worker processes a prompt and, with it, all its prefixes.
     pub fn remember(&mut self, now_ms: u64, prompt: &Prompt) {
         for prefix in &prompt.prefixes {
-            self.read_at_ms.insert(prefix.hash, now_ms);
+            self.processed_at_ms.insert(prefix.hash, now_ms);
         }
-        if self.read_at_ms.len() > MAX_PREFIXES {
+        if self.processed_at_ms.len() > MAX_PREFIXES {
             self.evict_older_half();
         }
     }
 
-    /// Tokens of the prompt that the worker need not read again.
-    pub fn known_tokens(&self, prompt: &Prompt) -> u64 {
+    /// Returns the number of leading prompt tokens that the worker need not process again.
+    pub fn processed_tokens(&self, prompt: &Prompt) -> u64 {
         let known = prompt
             .prefixes
             .iter()
             .rev()
-            .find(|prefix| self.read_at_ms.contains_key(&prefix.hash));
+            .find(|prefix| self.processed_at_ms.contains_key(&prefix.hash));
         known.map_or(0, |prefix| prefix.tokens)
     }
 
     fn evict_older_half(&mut self) {
-        let mut times: Vec<u64> = self.read_at_ms.values().copied().collect();
+        let mut times: Vec<u64> = self.processed_at_ms.values().copied().collect();
         let middle = times.len() / 2;
         let (_, median, _) = times.select_nth_unstable(middle);
         let median = *median;
-        self.read_at_ms.retain(|_, at| *at > median);
+        self.processed_at_ms.retain(|_, at| *at > median);
     }
 }
--- a/crates/pinerill-forward/src/fleet/slow_start.rs
+++ b/crates/pinerill-forward/src/fleet/slow_start.rs
@@ -1,9 +1,9 @@
-//! Which requests may go to workers that are still cold.
+//! Limits the requests sent to workers that are still cold.
 //!
-//! A worker is cold for a while after its start, or after its zone was returned to service,
-//! and bears few requests a second from all nodes together. Where its service says how many,
-//! a request goes there only with a permit, which the leader lends. Invariant: one permit
-//! lets one request go, and none once its time is up.
+//! A worker is cold for a while after its start, and after its zone was returned to service. It
+//! then handles only a few requests per second from all nodes together. If its service configures a
+//! slow-start rate, a request may go to a cold worker only with a permit, which the leader grants.
+//! Invariant: a permit admits one request, and none after it has expired.
 
 use pinerill_calls::directory::WorkerId;
 use pinerill_calls::message::ColdWorker;
@@ -12,30 +12,30 @@
 
 use super::{Fleet, Worker};
 
-/// Lets one request go to a worker that is still cold.
+/// Admits one request to a worker that is still cold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SlowStartPermit {
-    /// Until when it holds, on the node's clock, milliseconds.
+    /// When the permit expires, in milliseconds on the node's clock.
     until_ms: u64,
 }
 
 impl SlowStartPermit {
-    /// A permit that was asked for at a moment. The lender allows for requests that begin so
-    /// much later.
-    pub fn requested_at(asked_ms: u64) -> Self {
+    /// Creates a permit that was requested at `requested_ms`. It is valid for [`LONGEST_WAIT_MS`]
+    /// from then on, because the lender allows for requests that start up to that much later.
+    pub fn requested_at(requested_ms: u64) -> Self {
         SlowStartPermit {
-            until_ms: asked_ms + LONGEST_WAIT_MS,
+            until_ms: requested_ms + LONGEST_WAIT_MS,
         }
     }
 
-    /// Whether a request may still go by it.
+    /// Returns whether a request may still be sent with this permit.
     pub fn is_valid(self, now_ms: u64) -> bool {
         now_ms < self.until_ms
     }
 }
 
 impl Fleet {
-    /// Takes in how cold workers of each service are spared.
+    /// Replaces the slow-start settings of all services with those of a route table.
     pub fn apply_slow_starts(&mut self, table: &RouteTable) {
         let services = table.services.iter();
         self.slow_starts = services
@@ -43,21 +43,22 @@
             .collect();
     }
 
-    /// A worker said for how long it is still cold.
+    /// Records that a worker reported itself cold for another `cold_left_ms` milliseconds.
     pub fn extend_cold_period(&mut self, now_ms: u64, id: &str, cold_left_ms: u64) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.extend_cold_period(now_ms, cold_left_ms);
         }
     }
 
-    /// Nothing listens at a worker's address.
+    /// Records that nothing listens at a worker's address.
     pub fn mark_not_listening(&mut self, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.mark_not_listening();
         }
     }
 
-    /// Whether a request may go to a worker with what it holds, right before it is written.
+    /// Returns whether a request with this permit, if any, may be sent to a worker. Called
+    /// immediately before the request is written. Workers that are not listed need no permit.
     pub fn is_permitted(&self, now_ms: u64, id: &str, permit: Option<SlowStartPermit>) -> bool {
         let Some(worker) = self.workers.get(id) else {
             return true;
@@ -66,18 +67,19 @@
         has_valid_permit || !self.needs_permit(now_ms, worker)
     }
 
-    /// Whether requests go to a worker with permits alone.
+    /// Returns whether requests to a worker need a permit.
     pub(super) fn needs_permit(&self, now_ms: u64, worker: &Worker) -> bool {
         worker.is_cold(now_ms) && self.slow_start(worker).is_some()
     }
 
-    /// Whether a request could go to a worker now.
+    /// Returns whether a request could be sent to a worker now: no permit is needed, or one is
+    /// held.
     pub(super) fn may_receive_request(&self, now_ms: u64, worker: &Worker) -> bool {
         !self.needs_permit(now_ms, worker) || worker.has_permit(now_ms)
     }
 
-    /// Workers for which permits can be asked: of each service those of this zone, and the
-    /// others while none of its workers in this zone serves.
+    /// Returns the workers for which this node should request permits. For each service these are
+    /// the workers of this zone, or those of other zones while no worker of this zone can serve.
     pub fn cold_workers(&self, now_ms: u64) -> Vec<ColdWorker> {
         let services = self.slow_starts.keys();
         services
@@ -89,11 +91,11 @@
         let ready = self.candidates(service);
         let healthy: Vec<&Worker> = ready.filter(|one| !one.is_avoided(now_ms)).collect();
         let zone_has_healthy = healthy.iter().any(|one| one.entry().zone == self.zone);
-        let wanted = healthy.into_iter().filter(|worker| {
+        let needing_permit = healthy.into_iter().filter(|worker| {
             let in_reach = worker.entry().zone == self.zone || !zone_has_healthy;
             in_reach && self.needs_permit(now_ms, worker) && !worker.has_permit(now_ms)
         });
-        wanted
+        needing_permit
             .map(|worker| ColdWorker {
                 id: worker.entry().id.clone(),
                 service: worker.entry().service.clone(),
@@ -101,11 +103,11 @@
             .collect()
     }
 
-    /// Takes in permits that were asked for at a moment.
-    pub fn add_permits(&mut self, asked_ms: u64, workers: &[WorkerId]) {
+    /// Stores permits for these workers that were requested at `requested_ms`.
+    pub fn add_permits(&mut self, requested_ms: u64, workers: &[WorkerId]) {
         for id in workers {
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.set_permit(SlowStartPermit::requested_at(asked_ms));
+                worker.set_permit(SlowStartPermit::requested_at(requested_ms));
             }
         }
     }
--- a/crates/pinerill-forward/src/fleet/worker.rs
+++ b/crates/pinerill-forward/src/fleet/worker.rs
@@ -1,4 +1,4 @@
-//! One worker as this node sees it.
+//! State of one worker as this node knows it.
 
 use std::sync::Arc;
 
@@ -9,61 +9,65 @@
 use super::slow_start::SlowStartPermit;
 use super::suspicion::Suspicion;
 
-/// A load sample counts in full up to this age, milliseconds.
+/// Age in milliseconds up to which a load sample counts in full.
 const SAMPLE_FRESH_MS: u64 = 700;
-/// And not at all from this age on.
+/// Age in milliseconds from which a load sample no longer counts.
 const SAMPLE_EXPIRED_MS: u64 = 3_000;
-/// Longest time that reading one prompt is believed to take, milliseconds.
+/// Upper bound in milliseconds on the estimated prefill time of one prompt.
 const MAX_PREFILL_MS: f64 = 5_000.0;
-/// First time for which a worker that failed is avoided, milliseconds.
+/// Time in milliseconds for which a worker is avoided after its first failure.
 const INITIAL_BACKOFF_MS: u64 = 400;
-/// Longest time for which it is avoided.
+/// Upper bound in milliseconds on the time for which a failing worker is avoided.
 const MAX_BACKOFF_MS: u64 = 4_000;
-/// Time for which a break that another node told counts, milliseconds. A worker that ends
-/// all connections is tried by some node of a zone more often than that; one that ends few
-/// soon counts as sound again.
+/// Time in milliseconds for which a connection loss reported by another node counts. Within that
+/// time some node of the zone tries again a worker that ends all its connections, while a worker
+/// that ends few of them soon counts as proven again.
 const PEER_CONNECTION_LOSS_MS: u64 = 1_000;
-/// Time after a worker that failed need not be avoided any more in which only calls that may
-/// run again try it, milliseconds. Where no such calls come, the others must in the end.
+/// Time in milliseconds, after the backoff of a failed worker has ended, in which only calls that
+/// may be retried are sent to it. If no such calls arrive, calls that run once must eventually be
+/// sent to it again.
 const PROBATION_MS: u64 = 2_000;
-/// Time for which a worker that had no room is avoided.
+/// Time in milliseconds for which a worker that had no free slot is skipped.
 const FULL_BACKOFF_MS: u64 = 100;
-/// Part of a request by which a worker may seem over its slots: samples fade.
+/// Fraction of a request by which the estimated occupancy may exceed the slots, because load
+/// samples fade gradually.
 const SLOT_TOLERANCE: f64 = 0.5;
 
-/// A worker.
+/// State of one worker: its directory entry, estimated load, failures and confirmation.
 #[derive(Debug)]
 pub struct Worker {
     entry: Arc<WorkerEntry>,
-    /// Requests of this node there.
+    /// This node's requests in flight at the worker.
     pub(super) in_flight: u32,
-    /// Requests there of the other nodes of this zone, as they tell.
+    /// Requests in flight there of the other nodes of this zone, from their reports.
     pub(super) peers_in_flight: u32,
-    /// Requests there of the nodes of other zones, as these tell.
+    /// Requests in flight there of the nodes of other zones, from their reports.
     pub(super) zones_in_flight: u32,
-    /// Until when places there are promised to other nodes, milliseconds.
+    /// When each slot promised to another node is released, in milliseconds.
     promised_until_ms: Vec<u64>,
-    /// When it will have read all prompts that are known to be sent there, on
-    /// the node's clock, milliseconds.
+    /// When the worker is expected to finish the prefill of all prompts known to be sent to it, in
+    /// milliseconds on the node's clock.
     prefill_until_ms: f64,
-    /// Prompts that it has read.
+    /// Prompt prefixes that the worker has processed.
     pub(super) prefixes: PrefixMemory,
-    /// Requests of others there, when that was learnt.
+    /// Requests in flight there that no node has reported, from the last load sample. `None` before
+    /// the first sample.
     other_requests: Option<OtherRequestsSample>,
     failures: u32,
     avoid_until_ms: u64,
-    /// What other nodes say of it.
+    /// Reports of other nodes that the worker did not answer them.
     pub(super) suspicion: Suspicion,
-    /// When it last ended a connection on which it had a request of another node.
+    /// When the worker last ended a connection that carried another node's request.
     peer_connection_lost_ms: Option<u64>,
     full_until_ms: u64,
-    /// When it was last asked something whose answer showed that it stays.
+    /// When the latest request whose answer confirmed that the worker stays was sent to it.
     confirmed_ms: Option<u64>,
-    /// Until when it is cold, as far as told.
+    /// When the worker's known cold period ends, in milliseconds.
     cold_until_ms: u64,
-    /// Its process was gone; whether it has started again since is not known.
+    /// Whether the worker stopped listening and has not answered since, so that it may have
+    /// restarted.
     may_have_restarted: bool,
-    /// Lets one request go there while it is cold.
+    /// Permit for one request while the worker is cold.
     permit: Option<SlowStartPermit>,
 }
 
@@ -96,12 +100,13 @@
         }
     }
 
-    /// Its entry in the directory.
+    /// Returns the worker's latest directory entry.
     pub fn entry(&self) -> &Arc<WorkerEntry> {
         &self.entry
     }
 
-    /// A worker that was seen leaving never comes back under its identifier.
+    /// Replaces the directory entry. A worker that was seen draining stays draining under the same
+    /// identifier.
     pub(super) fn update_entry(&mut self, now_ms: u64, entry: &WorkerEntry) {
         self.extend_cold_period(now_ms, entry.cold_left_ms);
         let is_draining = self.entry.state == WorkerState::Draining;
@@ -121,23 +126,24 @@
         }
     }
 
-    /// It was asked something at that moment, and its answer showed that it stays.
+    /// Records that the worker, when asked at `asked_ms`, confirmed that it stays.
     pub(super) fn confirm(&mut self, asked_ms: u64) {
         self.confirmed_ms = self.confirmed_ms.max(Some(asked_ms));
     }
 
-    /// When it was last asked something whose answer showed that it stays.
+    /// Returns when the latest request whose answer confirmed that the worker stays was sent to it.
+    /// `None` if there was no such answer.
     pub(super) fn confirmed_ms(&self) -> Option<u64> {
         self.confirmed_ms
     }
 
-    /// A prompt was sent there; it is read after those sent before.
+    /// Records that a prompt was sent to the worker. Prefills run one after the other.
     pub(super) fn expect_prefill(&mut self, now_ms: u64, prefill_ms: f64) {
         let prefill_start_ms = self.prefill_until_ms.max(now_ms as f64);
         self.prefill_until_ms = prefill_start_ms + prefill_ms.clamp(0.0, MAX_PREFILL_MS);
     }
 
-    /// Time until it has read what is known to be sent there.
+    /// Returns the estimated time in milliseconds until the worker has finished all known prefills.
     pub(super) fn remaining_prefill_ms(&self, now_ms: u64) -> f64 {
         (self.prefill_until_ms - now_ms as f64).max(0.0)
     }
@@ -150,18 +156,18 @@
         });
     }
 
-    /// It is cold for so long from now on, or longer if that was told before.
+    /// Extends the cold period to at least `cold_ms` from now; never shortens it.
     pub(super) fn extend_cold_period(&mut self, now_ms: u64, cold_ms: u64) {
         let until_ms = now_ms.saturating_add(cold_ms);
         self.cold_until_ms = self.cold_until_ms.max(until_ms);
     }
 
-    /// Whether it is cold, or may be since it was gone.
+    /// Returns whether the worker is cold, or may have restarted and is therefore treated as cold.
     pub(super) fn is_cold(&self, now_ms: u64) -> bool {
         now_ms < self.cold_until_ms || self.may_have_restarted
     }
 
-    /// Its process is gone. Where it is there again, it has started anew.
+    /// Records that the worker's process has ended. If the worker answers again, it has restarted.
     pub(super) fn mark_not_listening(&mut self) {
         self.may_have_restarted = true;
     }
@@ -174,13 +180,13 @@
         self.permit.is_some_and(|permit| permit.is_valid(now_ms))
     }
 
-    /// The permit for the next request there; it serves one.
+    /// Takes the permit for the next request, if it is still valid. A permit serves one request.
     pub(super) fn take_permit(&mut self, now_ms: u64) -> Option<SlowStartPermit> {
         self.permit.take().filter(|permit| permit.is_valid(now_ms))
     }
 
-    /// It answered as it should. If it was gone before, it has started again: it is cold for
-    /// `cold_ms` from now on.
+    /// Records a successful answer and clears earlier failures. If the worker had stopped listening
+    /// before, it has restarted and is cold for `cold_ms` from now.
     pub(super) fn record_success(&mut self, now_ms: u64, cold_ms: u64) {
         if std::mem::take(&mut self.may_have_restarted) {
             self.extend_cold_period(now_ms, cold_ms);
@@ -190,7 +196,8 @@
         self.suspicion.clear();
     }
 
-    /// Each failure in a row doubles the time for which it is avoided.
+    /// Records a failure. Each consecutive failure doubles the time for which the worker is
+    /// avoided.
     pub(super) fn record_failure(&mut self, now_ms: u64) {
         let backoff_ms = INITIAL_BACKOFF_MS << self.failures.min(8);
         self.failures += 1;
@@ -201,8 +208,8 @@
         self.peer_connection_lost_ms = Some(now_ms);
     }
 
-    /// Whether a call that runs once may be risked there: neither this node's last request
-    /// there failed nor that of another one that told it, for a while.
+    /// Returns whether a call that runs once may be sent to the worker: its last request from this
+    /// node did not fail, and no other node has reported a failure, within the respective periods.
     pub(super) fn is_proven(&self, now_ms: u64) -> bool {
         let lost_ms = self.peer_connection_lost_ms;
         let lost_by_peer =
@@ -215,8 +222,9 @@
         self.full_until_ms = now_ms + FULL_BACKOFF_MS;
     }
 
-    /// Requests there: those of this node, those that other nodes tell of, places that
-    /// are promised, and those of others as far as still believed.
+    /// Returns the estimated number of requests at the worker: those of this node, those that other
+    /// nodes report, promised slots, and unreported requests weighted by the age of the load
+    /// sample.
     pub(super) fn occupied(&self, now_ms: u64) -> f64 {
         let known = self.known_in_flight() + self.promised_slots(now_ms);
         f64::from(known) + self.estimated_other_requests(now_ms)
@@ -226,37 +234,37 @@
         self.in_flight + self.peers_in_flight + self.zones_in_flight
     }
 
-    /// A place there is promised to another node.
+    /// Promises a slot to another node until `until_ms`.
     pub(super) fn promise_slot(&mut self, now_ms: u64, until_ms: u64) {
         self.promised_until_ms.retain(|until| *until > now_ms);
         self.promised_until_ms.push(until_ms);
     }
 
-    /// Places there that are promised to other nodes.
+    /// Returns the number of slots currently promised to other nodes.
     pub(super) fn promised_slots(&self, now_ms: u64) -> u32 {
         let promised = self.promised_until_ms.iter();
         promised.filter(|until| **until > now_ms).count() as u32
     }
 
-    /// Whether one more request would begin at once and leave so many slots free.
+    /// Returns whether one more request would start at once and leave `spare` slots free.
     pub(crate) fn has_free_slot(&self, now_ms: u64, spare: f64) -> bool {
         let required = self.occupied(now_ms) + 1.0 + spare;
         !self.is_full(now_ms) && required <= self.slots() + SLOT_TOLERANCE
     }
 
-    /// Requests that would begin at once.
+    /// Returns how many more requests would start at once.
     pub(super) fn free_slots(&self, now_ms: u64) -> usize {
         let free = self.slots() + SLOT_TOLERANCE - self.occupied(now_ms);
         free.max(0.0) as usize
     }
 
-    /// Whether what others do there was learnt a short while ago.
+    /// Returns whether the last load sample is recent enough to count in full.
     pub(super) fn is_load_known(&self, now_ms: u64) -> bool {
         self.load_age_ms(now_ms)
             .is_some_and(|age| age <= SAMPLE_FRESH_MS)
     }
 
-    /// Age of the newest load sample, milliseconds.
+    /// Returns the age of the last load sample in milliseconds, or `None` if there is no sample.
     pub(super) fn load_age_ms(&self, now_ms: u64) -> Option<u64> {
         let sample = self.other_requests?;
         Some(now_ms.saturating_sub(sample.received_ms))
@@ -272,12 +280,12 @@
         f64::from(sample.requests) * remaining_ms as f64 / fade_ms as f64
     }
 
-    /// Whether it failed a short while ago.
+    /// Returns whether the worker is avoided after a failure.
     pub(super) fn is_avoided(&self, now_ms: u64) -> bool {
         now_ms < self.avoid_until_ms
     }
 
-    /// Whether it had no room a moment ago.
+    /// Returns whether the worker recently reported that it has no free slot.
     pub(super) fn is_full(&self, now_ms: u64) -> bool {
         now_ms < self.full_until_ms
     }
--- a/crates/pinerill-forward/src/fleet/zones.rs
+++ b/crates/pinerill-forward/src/fleet/zones.rs
@@ -1,13 +1,14 @@
-//! Evacuated zones, as the leader tells them.
+//! Applies the zone evacuations that the leader publishes to the fleet.
 
 use pinerill_calls::evacuation::Evacuations;
 
 use super::Fleet;
 
 impl Fleet {
-    /// Takes in which zones are evacuated, unless something newer is known. Workers of a zone
-    /// that was returned to service since may have become cold meanwhile, which the platform
-    /// list shows later: they count as cold for as long as after a start.
+    /// Applies the set of evacuated zones and returns true, or returns false if the same or a newer
+    /// revision is already known. Workers of a zone that has been returned to service since the
+    /// known revision may have become cold in the meantime, which the platform list shows only
+    /// later. They are treated as cold for as long as after a start.
     pub fn apply_evacuations(&mut self, now_ms: u64, evacuations: Evacuations) -> bool {
         let known = self.evacuations.as_ref().map(Evacuations::revision);
         if known >= Some(evacuations.revision()) {
@@ -27,12 +28,12 @@
         true
     }
 
-    /// Revision of the evacuations that are known; none before the leader told.
+    /// Returns the revision of the known evacuations, or `None` before the leader has sent any.
     pub fn evacuations_revision(&self) -> Option<u64> {
         self.evacuations.as_ref().map(Evacuations::revision)
     }
 
-    /// Whether workers of a zone get nothing new.
+    /// Returns whether the workers of a zone receive no new requests.
     pub fn is_evacuated(&self, zone: &str) -> bool {
         let evacuations = self.evacuations.as_ref();
         evacuations.is_some_and(|evacuations| evacuations.is_evacuated(zone))
--- a/crates/pinerill-forward/tests/births.rs
+++ b/crates/pinerill-forward/tests/births.rs
@@ -1,4 +1,4 @@
-//! Workers that start again: what was believed of the start before says nothing of the next.
+//! Restarted workers: state kept about an earlier incarnation must not affect a later one.
 
 mod support;
 
@@ -9,7 +9,7 @@
     ChoiceSettings, Fleet, Placement, PlacementRequest, Prompt, ReportOrder, WorkerCount, WorkerKey,
 };
 
-/// When directories are taken in.
+/// Time in milliseconds at which directories are applied.
 const NOW_MS: u64 = 0;
 
 fn fleet(entries: &[WorkerEntry]) -> Fleet {
@@ -27,14 +27,14 @@
 }
 
 fn place(fleet: &Fleet) -> Placement {
-    let wanted = PlacementRequest {
+    let request = PlacementRequest {
         service: "svc",
         prompt: &prompt(),
         except: &[],
         runs_once: false,
         homes: &ANYWHERE,
     };
-    fleet.place(0, &wanted, false, |_, _| true)
+    fleet.place(0, &request, false, |_, _| true)
 }
 
 fn chosen_id(fleet: &Fleet) -> Option<WorkerId> {
@@ -44,18 +44,18 @@
     }
 }
 
-fn born(name: &str, birth_ms: u64) -> WorkerEntry {
+fn entry_started_at(name: &str, started_at_ms: u64) -> WorkerEntry {
     WorkerEntry {
-        id: WorkerId::new(name, Some(birth_ms)),
+        id: WorkerId::new(name, Some(started_at_ms)),
         ..support::entry(WorkerId::new(name, None))
     }
 }
 
-/// Users saw calls wait for a worker that had started again under its name: what was
-/// believed of the one before outlived it.
+/// Guards against calls waiting for a worker that has restarted under the same name, because the
+/// load, failures and draining state of its earlier incarnation still apply.
 #[test]
-fn a_worker_that_has_started_again_is_another_one_of_which_nothing_is_believed() {
-    let first = born("a", 10);
+fn a_restarted_worker_does_not_inherit_the_state_of_its_earlier_incarnation() {
+    let first = entry_started_at("a", 10);
     let mut leaving = first.clone();
     leaving.state = WorkerState::Draining;
     let mut fleet = fleet(std::slice::from_ref(&first));
@@ -63,39 +63,39 @@
     fleet.remember_prompt(0, &first.id, &prompt());
     fleet.record_failure(0, &first.id);
     fleet.apply_directory(NOW_MS, &[leaving]);
-    let second = born("a", 20);
-    let gone = fleet.apply_directory(NOW_MS, std::slice::from_ref(&second));
-    assert_eq!(gone.len(), 1);
-    assert!(gone[0].is_restarted);
-    let worker = fleet.worker(&second.id).expect("it is listed");
+    let second = entry_started_at("a", 20);
+    let removed = fleet.apply_directory(NOW_MS, std::slice::from_ref(&second));
+    assert_eq!(removed.len(), 1);
+    assert!(removed[0].is_restarted);
+    let worker = fleet.worker(&second.id).expect("the worker is listed");
     assert_eq!(worker.entry().state, WorkerState::Ready);
     assert_eq!(fleet.in_flight(0), []);
     assert!(fleet.worker(&first.id).is_none());
     let Placement::Available(chosen) = place(&fleet) else {
-        panic!("it has room");
+        panic!("the worker has free slots");
     };
     assert_eq!(chosen.basis.occupied, 0.0);
-    assert!(chosen.prefill_ms > 0.0, "it has read nothing");
-    // What ends at the earlier start says nothing of this one.
+    assert!(chosen.prefill_ms > 0.0, "no prefix is processed yet");
+    // Events of the earlier incarnation do not change the state of this one.
     fleet.end_request(&first.id);
     fleet.record_failure(0, &first.id);
     assert_eq!(chosen_id(&fleet), Some(second.id));
 }
 
 #[test]
-fn an_earlier_birth_never_replaces_a_later_one() {
-    let (first, second) = (born("a", 10), born("a", 20));
+fn an_earlier_incarnation_never_replaces_a_later_one() {
+    let (first, second) = (entry_started_at("a", 10), entry_started_at("a", 20));
     let mut fleet = fleet(std::slice::from_ref(&second));
-    let gone = fleet.apply_directory(NOW_MS, std::slice::from_ref(&first));
+    let removed = fleet.apply_directory(NOW_MS, std::slice::from_ref(&first));
     assert!(fleet.worker(&first.id).is_none());
-    assert!(!gone[0].is_restarted);
+    assert!(!removed[0].is_restarted);
     fleet.apply_directory(NOW_MS, std::slice::from_ref(&second));
     assert!(fleet.worker(&second.id).is_some());
 }
 
 #[test]
-fn news_of_other_nodes_on_the_earlier_start_says_nothing_of_the_later_one() {
-    let (first, second) = (born("a", 10), born("a", 20));
+fn peer_counts_for_an_earlier_incarnation_do_not_apply_to_a_later_one() {
+    let (first, second) = (entry_started_at("a", 10), entry_started_at("a", 20));
     let mut fleet = fleet(std::slice::from_ref(&second));
     let counts = vec![WorkerCount {
         worker: WorkerKey::from_id(&first.id),
--- a/crates/pinerill-forward/tests/evacuation.rs
+++ b/crates/pinerill-forward/tests/evacuation.rs
@@ -1,4 +1,5 @@
-//! Workers of an evacuated zone get nothing new, whatever path a request comes by.
+//! Workers of an evacuated zone must receive no new requests by any path, and calls must stay in
+//! their allowed regions.
 
 mod support;
 
@@ -17,7 +18,7 @@
     duration_ms: DURATION_MS,
 };
 
-/// A worker in each of two zones; this node stands in the first.
+/// A worker in each of two zones, seen from a node in the first zone.
 fn fleet() -> Fleet {
     let mut fleet = Fleet::new("near", ChoiceSettings::default());
     fleet.apply_slow_starts(&table_with(SLOW_START));
@@ -26,7 +27,7 @@
     fleet
 }
 
-fn wanted<'a>(prompt: &'a Prompt, homes: &'a Homes) -> PlacementRequest<'a> {
+fn placement_request<'a>(prompt: &'a Prompt, homes: &'a Homes) -> PlacementRequest<'a> {
     PlacementRequest {
         service: "svc",
         prompt,
@@ -38,34 +39,43 @@
 
 fn placed(fleet: &Fleet, now_ms: u64) -> Option<String> {
     let prompt = Prompt::default();
-    match fleet.place(now_ms, &wanted(&prompt, &ANYWHERE), true, |_, _| true) {
+    match fleet.place(
+        now_ms,
+        &placement_request(&prompt, &ANYWHERE),
+        true,
+        |_, _| true,
+    ) {
         Placement::Available(chosen) => Some(chosen.entry.id.to_string()),
         Placement::Full | Placement::NoWorker => None,
     }
 }
 
 #[test]
-fn no_path_leads_to_a_worker_of_an_evacuated_zone() {
+fn no_request_reaches_a_worker_of_an_evacuated_zone_by_any_path() {
     let mut fleet = fleet();
     let prompt = Prompt::default();
     let mut evacuations = Evacuations::default();
     evacuations.evacuate("near");
     assert!(fleet.apply_evacuations(10, evacuations));
     assert_eq!(placed(&fleet, 20).as_deref(), Some("b"));
-    let item = fleet.choose_for_item(20, &wanted(&prompt, &ANYWHERE));
+    let item = fleet.choose_for_item(20, &placement_request(&prompt, &ANYWHERE));
     assert_eq!(item.expect("a worker").entry.id.as_str(), "b");
     assert!(
         fleet.promise_slot(20, "a", 100).is_none(),
-        "its place is promised to nobody"
+        "no slot of an evacuated zone may be promised"
     );
-    let promised = fleet.promised_worker(20, WorkerKey::from_id("a"), &wanted(&prompt, &ANYWHERE));
-    assert!(promised.is_none(), "a promise from before is not taken");
+    let promised = fleet.promised_worker(
+        20,
+        WorkerKey::from_id("a"),
+        &placement_request(&prompt, &ANYWHERE),
+    );
+    assert!(promised.is_none(), "an earlier promise must not be used");
     assert_eq!(fleet.eligibility(20, "a"), Eligibility::Evacuated);
     assert_eq!(fleet.eligibility(20, "b"), Eligibility::Confirmed);
 }
 
 #[test]
-fn an_older_state_replaces_no_newer_one() {
+fn an_older_evacuation_state_does_not_replace_a_newer_one() {
     let mut fleet = fleet();
     let mut evacuations = Evacuations::default();
     evacuations.evacuate("near");
@@ -78,7 +88,7 @@
 }
 
 #[test]
-fn workers_of_a_returned_zone_count_as_cold_though_the_list_does_not_show_it_yet() {
+fn workers_of_a_returned_zone_are_cold_before_the_list_shows_it() {
     let mut fleet = fleet();
     let mut evacuations = Evacuations::default();
     evacuations.evacuate("near");
@@ -94,20 +104,29 @@
 }
 
 #[test]
-fn a_call_is_served_in_its_homes_alone() {
+fn a_call_is_served_only_in_its_allowed_regions() {
     let regions = [("near", "north"), ("far", "south")];
     let regions = regions.map(|(zone, region)| (zone.to_owned(), region.to_owned()));
     let fleet = fleet().with_regions(regions.into_iter().collect());
     let prompt = Prompt::default();
-    let placed = |homes: &Homes| match fleet.place(10, &wanted(&prompt, homes), true, |_, _| true) {
+    let placed = |homes: &Homes| match fleet.place(
+        10,
+        &placement_request(&prompt, homes),
+        true,
+        |_, _| true,
+    ) {
         Placement::Available(chosen) => Some(chosen.entry.id.to_string()),
         Placement::Full | Placement::NoWorker => None,
     };
     let south = Homes::of(["south".to_owned()]);
     assert_eq!(placed(&south).as_deref(), Some("b"));
-    let promised = fleet.promised_worker(10, WorkerKey::from_id("a"), &wanted(&prompt, &south));
+    let promised = fleet.promised_worker(
+        10,
+        WorkerKey::from_id("a"),
+        &placement_request(&prompt, &south),
+    );
     assert!(promised.is_none());
-    let item = fleet.choose_for_item(10, &wanted(&prompt, &south));
+    let item = fleet.choose_for_item(10, &placement_request(&prompt, &south));
     assert_eq!(item.expect("a worker").entry.id.as_str(), "b");
     assert_eq!(placed(&Homes::of(["east".to_owned()])), None);
 }
--- a/crates/pinerill-forward/tests/proven_workers.rs
+++ b/crates/pinerill-forward/tests/proven_workers.rs
@@ -1,4 +1,4 @@
-//! Calls that run once go to workers that lately failed nobody of the zone.
+//! Calls that run once must go only to workers that have not recently failed any node of the zone.
 
 mod support;
 
@@ -22,7 +22,7 @@
     fleet
 }
 
-fn wanted(prompt: &Prompt, runs_once: bool) -> PlacementRequest<'_> {
+fn placement_request(prompt: &Prompt, runs_once: bool) -> PlacementRequest<'_> {
     PlacementRequest {
         service: SERVICE,
         prompt,
@@ -34,7 +34,12 @@
 
 fn placed(fleet: &Fleet, now_ms: u64, runs_once: bool) -> Option<WorkerId> {
     let prompt = Prompt::default();
-    match fleet.place(now_ms, &wanted(&prompt, runs_once), false, |_, _| true) {
+    match fleet.place(
+        now_ms,
+        &placement_request(&prompt, runs_once),
+        false,
+        |_, _| true,
+    ) {
         Placement::Available(chosen) => Some(chosen.entry.id.clone()),
         Placement::Full | Placement::NoWorker => None,
     }
@@ -51,20 +56,20 @@
 #[test]
 fn a_call_that_runs_once_goes_to_proven_workers() {
     let mut fleet = two_workers();
-    // It ends each connection at once, so that it looks idle beside the other.
+    // The worker ends each connection at once, so that it looks less loaded than the other one.
     fleet.begin_request(0, "b", 0.0);
     fleet.record_peer_connection_loss(0, WorkerKey::from_id("a"));
     assert_eq!(place_repeatable(&fleet, 1), Some(id("a")));
     assert_eq!(place_once(&fleet, 1), Some(id("b")));
     fleet.record_failure(1, "a");
     assert_eq!(place_once(&fleet, 1_200), Some(id("b")));
-    // A call that may run again has found it sound.
+    // A call that may be retried has succeeded there.
     fleet.record_success(0, "a");
     assert_eq!(place_once(&fleet, 1_201), Some(id("a")));
 }
 
 #[test]
-fn a_call_that_runs_once_waits_for_a_proven_worker_rather_than_risk_another() {
+fn a_call_that_runs_once_waits_for_a_proven_worker() {
     let mut fleet = two_workers();
     fleet.record_peer_connection_loss(0, WorkerKey::from_id("a"));
     for _ in 0..4 {
@@ -72,13 +77,13 @@
     }
     assert_eq!(place_once(&fleet, 1), None);
     assert_eq!(place_repeatable(&fleet, 1), Some(id("a")));
-    // Where no worker is proven, the call takes what there is.
+    // If no worker is proven, the call uses any worker.
     fleet.record_failure(1, "b");
     assert_eq!(place_once(&fleet, 2), Some(id("a")));
 }
 
 #[test]
-fn a_worker_that_no_call_tries_again_is_proven_in_the_end() {
+fn a_failed_worker_without_new_attempts_becomes_proven_after_probation() {
     let mut fleet = two_workers();
     fleet.record_failure(0, "a");
     for _ in 0..4 {
@@ -89,15 +94,15 @@
 }
 
 #[test]
-fn a_place_that_is_handed_over_is_no_risk_for_a_call_that_runs_once() {
+fn a_call_that_runs_once_refuses_a_handed_over_slot_at_an_unproven_worker() {
     let mut fleet = two_workers();
     let (key, prompt) = (WorkerKey::from_id("a"), Prompt::default());
-    let handed = |fleet: &Fleet, runs_once| {
-        let chosen = fleet.promised_worker(1, key, &wanted(&prompt, runs_once));
+    let is_accepted = |fleet: &Fleet, runs_once| {
+        let chosen = fleet.promised_worker(1, key, &placement_request(&prompt, runs_once));
         chosen.is_some()
     };
-    assert!(handed(&fleet, true));
+    assert!(is_accepted(&fleet, true));
     fleet.record_peer_connection_loss(0, key);
-    assert!(!handed(&fleet, true));
-    assert!(handed(&fleet, false));
+    assert!(!is_accepted(&fleet, true));
+    assert!(is_accepted(&fleet, false));
 }
--- a/crates/pinerill-forward/tests/restarted_worker.rs
+++ b/crates/pinerill-forward/tests/restarted_worker.rs
@@ -1,5 +1,5 @@
-//! What is in flight at a worker that has started again ends at once, though its connection
-//! stays silent.
+//! Exchanges with a restarted worker must end promptly. Its old connection may stay open and
+//! silent, so that the exchange would otherwise end only at its time-out.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,11 +17,11 @@
 use tokio::time::{sleep, timeout};
 
 /// Far below any time-out of an exchange.
-const AT_ONCE: Duration = Duration::from_millis(500);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(500);
 
-struct Plain;
+struct PassThroughProtocol;
 
-impl WorkerProtocol for Plain {
+impl WorkerProtocol for PassThroughProtocol {
     fn call_headers(&self, caller: &HeaderMap, _: &AttemptFacts<'_>) -> HeaderMap {
         caller.clone()
     }
@@ -53,9 +53,9 @@
     }
 }
 
-fn entry(address: SocketAddr, birth_ms: u64) -> WorkerEntry {
+fn entry(address: SocketAddr, started_at_ms: u64) -> WorkerEntry {
     WorkerEntry {
-        id: WorkerId::new("w", Some(birth_ms)),
+        id: WorkerId::new("w", Some(started_at_ms)),
         service: "svc".to_owned(),
         address,
         zone: "za".to_owned(),
@@ -65,15 +65,16 @@
     }
 }
 
-/// A worker that says this much of an answer and then nothing.
-async fn silent_worker(said: &'static [u8]) -> SocketAddr {
+/// Starts a worker that accepts one connection, reads the request, sends these bytes and then
+/// stalls.
+async fn stalling_worker(response: &'static [u8]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listen");
     let address = listener.local_addr().expect("an address");
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let mut request = [0; 1_024];
         assert!(stream.read(&mut request).await.expect("a request") > 0);
-        stream.write_all(said).await.expect("written");
+        stream.write_all(response).await.expect("written");
         std::future::pending::<()>().await;
     });
     address
@@ -89,19 +90,27 @@
         body: Bytes::from_static(b"body"),
         id: "call".to_owned(),
     };
-    let begun = Exchange::begin(pool, &Plain, worker, &request, HeaderMap::new(), || Ok(())).await;
+    let begun = Exchange::begin(
+        pool,
+        &PassThroughProtocol,
+        worker,
+        &request,
+        HeaderMap::new(),
+        || Ok(()),
+    )
+    .await;
     match begun {
         Ok(sent) => Ok(sent.exchange),
         Err(failure) => {
-            assert!(failure.sent, "it may have run");
+            assert!(failure.sent, "the request may have run");
             Err(failure.reason)
         }
     }
 }
 
 #[tokio::test]
-async fn a_request_without_an_answer_ends_when_its_worker_has_started_again() {
-    let address = silent_worker(b"").await;
+async fn an_unanswered_request_ends_when_its_worker_restarts() {
+    let address = stalling_worker(b"").await;
     let pool = Arc::new(ConnectionPool::default());
     let (first, second) = (Arc::new(entry(address, 10)), entry(address, 20));
     let ended = tokio::spawn({
@@ -110,17 +119,17 @@
     });
     sleep(Duration::from_millis(100)).await;
     pool.cancel_superseded_exchanges(&[second]);
-    let reason = timeout(AT_ONCE, ended)
+    let reason = timeout(SHORT_TIMEOUT, ended)
         .await
-        .expect("at once")
-        .expect("it ran");
+        .expect("no time-out")
+        .expect("the task must not panic");
     assert_eq!(reason, Some(BreakReason::Restarted));
 }
 
 #[tokio::test]
-async fn an_answer_midway_ends_when_its_worker_has_started_again_and_not_before() {
+async fn an_incomplete_answer_ends_when_its_worker_restarts_and_not_before() {
     let head = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf";
-    let address = silent_worker(head).await;
+    let address = stalling_worker(head).await;
     let pool = Arc::new(ConnectionPool::default());
     let first = Arc::new(entry(address, 10));
     let mut exchange = begin(&pool, &first).await.expect("a head");
@@ -128,13 +137,13 @@
         exchange.next_piece().await,
         Ok(Some(Bytes::from_static(b"half")))
     );
-    // The same start is listed, then an earlier one, then none.
+    // Directories that list the same incarnation, an earlier one, or no worker.
     for listed in [vec![entry(address, 10)], vec![entry(address, 5)], vec![]] {
         pool.cancel_superseded_exchanges(&listed);
         let piece = timeout(Duration::from_millis(50), exchange.next_piece()).await;
-        assert!(piece.is_err(), "it goes on: {piece:?}");
+        assert!(piece.is_err(), "the exchange must stay open: {piece:?}");
     }
     pool.cancel_superseded_exchanges(&[entry(address, 20)]);
-    let piece = timeout(AT_ONCE, exchange.next_piece()).await;
-    assert_eq!(piece.expect("at once"), Err(BreakReason::Restarted));
+    let piece = timeout(SHORT_TIMEOUT, exchange.next_piece()).await;
+    assert_eq!(piece.expect("no time-out"), Err(BreakReason::Restarted));
 }
--- a/crates/pinerill-forward/tests/zone_counts.rs
+++ b/crates/pinerill-forward/tests/zone_counts.rs
@@ -1,13 +1,14 @@
-//! When a zone tells other zones what it has in flight.
+//! When a zone reports its requests in flight to other zones immediately.
 
 mod support;
 
 use pinerill_forward::fleet::{ChoiceSettings, Fleet};
 use support::entry_in;
 
-/// Bytes between zones are paid for: a zone with much room tells its counts now and then.
+/// Traffic between zones is billed, so a zone with many free slots reports its counts only
+/// periodically.
 #[test]
-fn other_zones_hear_of_each_change_once_half_of_the_places_are_taken() {
+fn a_zone_reports_each_change_once_half_of_its_slots_are_in_use() {
     let mut fleet = Fleet::new("near", ChoiceSettings::default());
     let entries = [("near", "a"), ("near", "b"), ("other", "c")];
     fleet.apply_directory(0, &entries.map(|(zone, name)| entry_in(zone, name)));
@@ -16,12 +17,15 @@
     }
     assert!(!fleet.needs_immediate_zone_reports(0));
     fleet.begin_request(0, "b", 0.0);
-    assert!(fleet.needs_immediate_zone_reports(0), "four of eight");
+    assert!(
+        fleet.needs_immediate_zone_reports(0),
+        "four of eight slots are in use"
+    );
     fleet.end_request("b");
     assert!(!fleet.needs_immediate_zone_reports(0));
     fleet.begin_request(0, "c", 0.0);
     assert!(
         fleet.needs_immediate_zone_reports(0),
-        "other zones must know"
+        "a request runs in another zone"
     );
 }
