--- a/crates/pinerill-forward/src/fleet/worker.rs
+++ b/crates/pinerill-forward/src/fleet/worker.rs
@@ -60,7 +60,7 @@
     /// When the worker last ended a connection that carried another node's request.
     peer_connection_lost_ms: Option<u64>,
     full_until_ms: u64,
-    /// When the latest request whose answer confirmed that the worker stays was sent to it.
+    /// Send time of the latest request whose answer confirmed that the worker stays.
     confirmed_ms: Option<u64>,
     /// When the worker's known cold period ends, in milliseconds.
     cold_until_ms: u64,
@@ -131,7 +131,7 @@
         self.confirmed_ms = self.confirmed_ms.max(Some(asked_ms));
     }
 
-    /// Returns when the latest request whose answer confirmed that the worker stays was sent to it.
+    /// Returns the send time of the latest request whose answer confirmed that the worker stays, or
     /// `None` if there was no such answer.
     pub(super) fn confirmed_ms(&self) -> Option<u64> {
         self.confirmed_ms
--- a/crates/pinerill-forward/tests/fleet.rs
+++ b/crates/pinerill-forward/tests/fleet.rs
@@ -427,7 +427,7 @@
         place(&fleet, 1, NO_EXPLORATION),
         Placement::Available(_)
     ));
-    // A late or duplicated report of the first relay.
+    // A late or duplicated report changes nothing.
     fleet.record_zone_counts(2, "third", order(3, 1), count("a", 1));
     assert!(!fleet.record_zone_counts(2, "third", order(3, 1), count("a", 4)));
     assert!(matches!(
--- a/crates/pinerill-forward/tests/zone_counts.rs
+++ b/crates/pinerill-forward/tests/zone_counts.rs
@@ -1,12 +1,12 @@
-//! When a zone reports its requests in flight to other zones immediately.
+//! A zone whose free slots run low must report its requests in flight to other zones immediately.
 
 mod support;
 
 use pinerill_forward::fleet::{ChoiceSettings, Fleet};
 use support::entry_in;
 
-/// Traffic between zones is billed, so a zone with many free slots reports its counts only
-/// periodically.
+/// Guards against needless traffic between zones, which is billed: a zone with many free slots
+/// reports its counts only periodically.
 #[test]
 fn a_zone_reports_each_change_once_half_of_its_slots_are_in_use() {
     let mut fleet = Fleet::new("near", ChoiceSettings::default());
