--- a/crates/pinerill-forward/tests/births.rs
+++ b/crates/pinerill-forward/tests/births.rs
@@ -1,4 +1,4 @@
-//! Workers that start again: what was believed of the start before says nothing of the next.
+//! Restarted workers: state kept about an earlier incarnation must not affect a later one.
 
 mod support;
 
@@ -6,105 +6,105 @@
 use pinerill_calls::protocol::{CallHead, PromptPart};
 use pinerill_calls::table::ALL_REGIONS;
 use pinerill_forward::fleet::{
-    ChoiceSettings, Fleet, Placement, Prompt, TellingOrder, Wanted, WorkerCount, WorkerKey,
+    ChoiceSettings, Fleet, Placement, PlacementRequest, Prompt, ReportOrder, WorkerCount, WorkerKey,
 };
 
-/// When directories are taken in.
+/// Time in milliseconds at which directories are applied.
 const NOW_MS: u64 = 0;
 
 fn fleet(entries: &[WorkerEntry]) -> Fleet {
     let mut fleet = Fleet::new("za", ChoiceSettings::default());
-    fleet.take_directory(NOW_MS, entries);
+    fleet.apply_directory(NOW_MS, entries);
     fleet
 }
 
 fn prompt() -> Prompt {
     let part = |id| PromptPart { id, tokens: 1_000 };
-    Prompt::of_call(&CallHead {
+    Prompt::from_call(&CallHead {
         prompt: vec![part(1), part(2)],
         ..CallHead::default()
     })
 }
 
 fn place(fleet: &Fleet) -> Placement {
-    let wanted = Wanted {
+    let request = PlacementRequest {
         service: "svc",
         prompt: &prompt(),
         except: &[],
         runs_once: false,
         homes: &ALL_REGIONS,
     };
-    fleet.place(0, &wanted, false, |_, _| true)
+    fleet.place(0, &request, false, |_, _| true)
 }
 
 fn chosen_id(fleet: &Fleet) -> Option<WorkerId> {
     match place(fleet) {
-        Placement::Room(chosen) => Some(chosen.entry.id.clone()),
+        Placement::Available(chosen) => Some(chosen.entry.id.clone()),
         Placement::Full | Placement::NoWorker => None,
     }
 }
 
-fn born(name: &str, birth_ms: u64) -> WorkerEntry {
+fn entry_started_at(name: &str, started_at_ms: u64) -> WorkerEntry {
     WorkerEntry {
-        id: WorkerId::new(name, Some(birth_ms)),
+        id: WorkerId::new(name, Some(started_at_ms)),
         ..support::entry(WorkerId::new(name, None))
     }
 }
 
-/// Users saw calls wait for a worker that had started again under its name: what was
-/// believed of the one before outlived it.
+/// Guards against calls waiting for a worker that has restarted under the same name, because the
+/// load, failures and draining state of its earlier incarnation still apply.
 #[test]
-fn a_worker_that_has_started_again_is_another_one_of_which_nothing_is_believed() {
-    let first = born("a", 10);
+fn a_restarted_worker_does_not_inherit_the_state_of_its_earlier_incarnation() {
+    let first = entry_started_at("a", 10);
     let mut leaving = first.clone();
     leaving.state = WorkerState::Draining;
     let mut fleet = fleet(std::slice::from_ref(&first));
-    fleet.begin(0, &first.id, 0.0);
+    fleet.begin_request(0, &first.id, 0.0);
     fleet.remember_prompt(0, &first.id, &prompt());
-    fleet.failed(0, &first.id);
-    fleet.take_directory(NOW_MS, &[leaving]);
-    let second = born("a", 20);
-    let gone = fleet.take_directory(NOW_MS, std::slice::from_ref(&second));
-    assert_eq!(gone.len(), 1);
-    assert!(gone[0].is_restarted);
-    let worker = fleet.worker(&second.id).expect("it is listed");
+    fleet.record_failure(0, &first.id);
+    fleet.apply_directory(NOW_MS, &[leaving]);
+    let second = entry_started_at("a", 20);
+    let removed = fleet.apply_directory(NOW_MS, std::slice::from_ref(&second));
+    assert_eq!(removed.len(), 1);
+    assert!(removed[0].is_restarted);
+    let worker = fleet.worker(&second.id).expect("the worker is listed");
     assert_eq!(worker.entry().state, WorkerState::Ready);
     assert_eq!(fleet.in_flight(0), []);
     assert!(fleet.worker(&first.id).is_none());
-    let Placement::Room(chosen) = place(&fleet) else {
-        panic!("it has room");
+    let Placement::Available(chosen) = place(&fleet) else {
+        panic!("the worker has free slots");
     };
     assert_eq!(chosen.basis.occupied, 0.0);
-    assert!(chosen.prefill_ms > 0.0, "it has read nothing");
-    // What ends at the earlier start says nothing of this one.
-    fleet.end(&first.id);
-    fleet.failed(0, &first.id);
+    assert!(chosen.prefill_ms > 0.0, "no prefix is processed yet");
+    // Events of the earlier incarnation do not change the state of this one.
+    fleet.end_request(&first.id);
+    fleet.record_failure(0, &first.id);
     assert_eq!(chosen_id(&fleet), Some(second.id));
 }
 
 #[test]
-fn an_earlier_birth_never_replaces_a_later_one() {
-    let (first, second) = (born("a", 10), born("a", 20));
+fn an_earlier_incarnation_never_replaces_a_later_one() {
+    let (first, second) = (entry_started_at("a", 10), entry_started_at("a", 20));
     let mut fleet = fleet(std::slice::from_ref(&second));
-    let gone = fleet.take_directory(NOW_MS, std::slice::from_ref(&first));
+    let removed = fleet.apply_directory(NOW_MS, std::slice::from_ref(&first));
     assert!(fleet.worker(&first.id).is_none());
-    assert!(!gone[0].is_restarted);
-    fleet.take_directory(NOW_MS, std::slice::from_ref(&second));
+    assert!(!removed[0].is_restarted);
+    fleet.apply_directory(NOW_MS, std::slice::from_ref(&second));
     assert!(fleet.worker(&second.id).is_some());
 }
 
 #[test]
-fn news_of_other_nodes_on_the_earlier_start_says_nothing_of_the_later_one() {
-    let (first, second) = (born("a", 10), born("a", 20));
+fn peer_counts_for_an_earlier_incarnation_do_not_apply_to_a_later_one() {
+    let (first, second) = (entry_started_at("a", 10), entry_started_at("a", 20));
     let mut fleet = fleet(std::slice::from_ref(&second));
     let counts = vec![WorkerCount {
-        worker: WorkerKey::of(&first.id),
+        worker: WorkerKey::from_id(&first.id),
         requests: 4,
     }];
-    let order = TellingOrder {
+    let order = ReportOrder {
         start: 1,
         sequence: 1,
     };
-    fleet.take_peer(0, ([127, 0, 0, 1], 9).into(), order, counts);
+    fleet.record_peer_counts(0, ([127, 0, 0, 1], 9).into(), order, counts);
     assert_eq!(chosen_id(&fleet), Some(second.id));
 }
