--- a/crates/pinerill-cluster/src/server/control.rs
+++ b/crates/pinerill-cluster/src/server/control.rs
@@ -1,4 +1,5 @@
-//! What the parts of a control machine share.
+//! Shared state of a control machine and the operations that all request handlers use: finding the
+//! leader, accessing the leader's soft state, proposing commands, and confirming reads.
 
 use pinerill_process::clock::BootTime;
 use std::collections::{BTreeSet, HashMap};
@@ -20,15 +21,15 @@
 use tokio::sync::{watch, Notify};
 use tokio_util::sync::CancellationToken;
 
+use super::leader_hint::LeaderHint;
 use super::leadership::{Leadership, Tolerances};
-use super::named_leader::NamedLeader;
 use super::older_builds::OlderDigests;
 use super::refusal;
 use crate::machine::{Applied, ClusterMachine, Command, StampedCommand};
 use crate::turns::RequestLimiter;
 use pinerill_calls::settings::ControlSettings;
 
-/// A control machine.
+/// State of a control machine, shared by its tasks and request handlers.
 pub(super) struct Control {
     pub(super) settings: ControlSettings,
     pub(super) record: MachineRecord,
@@ -36,57 +37,65 @@
     pub(super) host: GroupHost,
     pub(super) group: GroupHandle<ClusterMachine>,
     pub(super) leadership: Mutex<Option<Leadership>>,
-    pub(super) named_leader: Mutex<NamedLeader>,
-    /// Addresses of control machines that were ever learnt.
-    pub(super) learnt: Mutex<BTreeSet<SocketAddr>>,
-    /// Those that the settings name.
+    pub(super) leader_hint: Mutex<LeaderHint>,
+    /// Internal addresses of every other control machine that this one has learned of since its
+    /// start.
+    pub(super) learned_addresses: Mutex<BTreeSet<SocketAddr>>,
+    /// Addresses of the seed machines in the settings.
     pub(super) seeds: Mutex<Vec<SocketAddr>>,
-    /// Digest of the control machines that each one knew when it last answered.
-    pub(super) told_digests: Mutex<HashMap<SocketAddr, Digest>>,
-    /// In which formats the others are asked.
+    /// Digest of the address list that each machine had when it last answered, by address. An
+    /// announcement omits the address list if the digest equals that of this machine's list.
+    pub(super) peer_digests: Mutex<HashMap<SocketAddr, Digest>>,
+    /// Message format used for requests to each control machine.
     pub(super) peer_formats: PeerFormats,
-    /// Machines whose build does not read the format in force, by data folder.
-    pub(super) kept_out: Mutex<BTreeSet<u64>>,
-    /// How nodes of older builds name directories.
+    /// Machines whose build can't read the format in force, by identity of the data folder. Their
+    /// replication messages are dropped.
+    pub(super) excluded_replicas: Mutex<BTreeSet<u64>>,
+    /// Mapping from directory digests of older formats to current ones.
     pub(super) older_digests: Mutex<OlderDigests>,
-    /// Requests that could not be read.
-    pub(super) unread_requests: AtomicU64,
-    /// The route table as this build reads the document in force.
-    pub(super) table_read: Mutex<Option<Arc<RouteTable>>>,
+    /// Number of requests that could not be decoded.
+    pub(super) unreadable_requests: AtomicU64,
+    /// Cached route table, parsed by this build from the document in force; `None` until it is
+    /// first needed or if there is no document.
+    pub(super) parsed_table: Mutex<Option<Arc<RouteTable>>>,
     pub(super) operators: Arc<dyn OperatorProtocol>,
     pub(super) worker_list: Arc<dyn WorkerListProtocol>,
-    /// Bytes of requests that it answered.
+    /// Counters of the requests answered and of their bytes.
     pub(super) traffic: Traffic,
-    /// Counts changes that readers of results wait for.
-    pub(super) news: watch::Sender<u64>,
-    /// Counts changes that watches wait for. It is apart from the other, since each change
-    /// here is worked off for each node.
-    pub(super) watch_news: watch::Sender<u64>,
-    /// Turns of requests that all nodes make.
-    pub(super) turns: RequestLimiter,
-    /// Items wait that no node has; wakes one node that wants some for each of them.
-    pub(super) items_wait: Notify,
+    /// Counter that is incremented whenever the replicated state or the leadership may have
+    /// changed. Readers of results and the poller of the worker list wait for it.
+    pub(super) state_changes: watch::Sender<u64>,
+    /// Counter that is incremented on changes that watches wait for. It is separate from
+    /// `state_changes` because each increment makes the leader compute a response for every node.
+    pub(super) watch_changes: watch::Sender<u64>,
+    /// Limits how many watch and lease requests run before other tasks get a turn.
+    pub(super) request_limiter: RequestLimiter,
+    /// Notified once for each item that becomes available for a lease; wakes one waiting lease
+    /// request each time.
+    pub(super) item_available: Notify,
     pub(super) started: BootTime,
     pub(super) stopping: CancellationToken,
 }
 
 impl Control {
-    /// Milliseconds of a steady clock.
+    /// Returns the time since the start of the process, in milliseconds of a monotonic clock that
+    /// also counts the time in which the machine is suspended.
     pub(super) fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
-    /// Whether this machine leads and knows everything that is committed.
+    /// Returns whether this machine leads the group and has applied every committed command.
     pub(super) fn leads(&self) -> bool {
         self.group.status().leads()
     }
 
-    /// Internal address of the leader, if one is known: the one that this
-    /// machine's replica follows, otherwise the one that others named lately.
+    /// Returns the internal address of the leader: the one that this machine's replica follows,
+    /// otherwise the one that another machine named within the last 1.2 s. Returns `None` if
+    /// neither is known.
     pub(super) fn leader_address(&self) -> Option<SocketAddr> {
         let followed = self.group.status().leader;
         let address = followed.and_then(|leader| self.address_of(leader));
-        address.or_else(|| self.named_leader.lock().address())
+        address.or_else(|| self.leader_hint.lock().address())
     }
 
     pub(super) fn address_of(&self, replica: ReplicaId) -> Option<SocketAddr> {
@@ -100,48 +109,51 @@
             .with_machine(|machine| Some(machine.machines().get(&replica.0)?.address))
     }
 
-    /// The route table in force: the accepted document as this build reads it, since the
-    /// table stored beside it may have been read by a build that knows less of it.
+    /// Returns the route table in force, parsed by this build from the accepted document. The
+    /// table stored with the document is used only if parsing fails, because it may have been
+    /// parsed by a build that supports fewer features. Returns `None` if no document was accepted
+    /// yet.
     pub(super) fn table_in_force(&self) -> Option<Arc<RouteTable>> {
-        let mut read = self.table_read.lock();
-        let held = self.group.with_machine(|machine| {
-            let held = machine.table()?;
-            let known = read
+        let mut cached = self.parsed_table.lock();
+        let current = self.group.with_machine(|machine| {
+            let stored = machine.table()?;
+            let known = cached
                 .as_ref()
-                .filter(|one| one.version == held.table.version);
+                .filter(|one| one.version == stored.table.version);
             Some(match known {
                 Some(known) => known.clone(),
-                None => Arc::new(self.read_again(held)),
+                None => Arc::new(self.reparse_document(stored)),
             })
         });
-        read.clone_from(&held);
-        held
+        cached.clone_from(&current);
+        current
     }
 
-    fn read_again(&self, held: &PutTable) -> RouteTable {
-        let version = held.table.version;
-        match self.operators.read_table(&held.document) {
+    fn reparse_document(&self, stored: &PutTable) -> RouteTable {
+        let version = stored.table.version;
+        match self.operators.read_table(&stored.document) {
             Ok(table) if table.version == version => table,
             Ok(table) => {
                 let read = table.version;
                 log::error!(event = "document_of_another_version", version, read; "");
-                held.table.clone()
+                stored.table.clone()
             }
             Err(error) => {
                 log::error!(event = "document_unreadable", version, error:%; "");
-                held.table.clone()
+                stored.table.clone()
             }
         }
     }
 
-    /// Looks at this leadership's soft state.
+    /// Runs `access` on the soft state of the current leadership. The state starts empty in each
+    /// term.
     ///
     /// # Errors
-    /// A refusal that names the leader when it is another machine.
+    /// Returns a refusal if this machine does not lead; it names the leader if one is known.
     pub(super) fn with_leadership<R>(
         &self,
         step: &'static str,
-        look: impl FnOnce(&mut Leadership) -> R,
+        access: impl FnOnce(&mut Leadership) -> R,
     ) -> Result<R, Box<Refusal>> {
         let term = self.group.status().term;
         if !self.leads() {
@@ -151,11 +163,11 @@
                 step,
             ));
         }
-        let mut held = self.leadership.lock();
-        let current = held.as_ref().is_some_and(|one| one.term() == term);
+        let mut guard = self.leadership.lock();
+        let current = guard.as_ref().is_some_and(|one| one.term() == term);
         if !current {
             log::info!(event = "leadership_begins", machine = self.record.name.as_str(), term; "");
-            *held = Some(Leadership::begin(
+            *guard = Some(Leadership::begin(
                 term,
                 self.now_ms(),
                 Tolerances {
@@ -164,8 +176,8 @@
                 },
             ));
         }
-        match held.as_mut() {
-            Some(leadership) => Ok(look(leadership)),
+        match guard.as_mut() {
+            Some(leadership) => Ok(access(leadership)),
             None => Err(refusal::not_leader(
                 &self.record,
                 self.leader_address(),
@@ -174,25 +186,30 @@
         }
     }
 
-    /// Proposes a command and awaits what applying it answers.
+    /// Proposes a command and returns the result of applying it. `step` names the operation in a
+    /// refusal.
     ///
     /// # Errors
-    /// A refusal; [`pinerill_wire::message::RefusalCode::OutcomeUnknown`] if it
-    /// may yet be applied.
+    /// Returns a refusal if the command was not applied, with the code
+    /// [`pinerill_wire::message::RefusalCode::OutcomeUnknown`] if it may still be applied.
     pub(super) async fn propose(
         &self,
         step: &'static str,
         command: Command,
     ) -> Result<Applied, Box<Refusal>> {
         let now_ms = self.now_ms();
-        let elapsed_ms = self.with_leadership(step, |leadership| leadership.elapsed_ms(now_ms))?;
+        let elapsed_ms =
+            self.with_leadership(step, |leadership| leadership.take_elapsed_ms(now_ms))?;
         let stamped = StampedCommand {
             elapsed_ms,
             command,
         };
-        let proposed = self.group.propose(self.encoded(step, stamped)?).await;
+        let proposed = self
+            .group
+            .propose(self.encode_command(step, stamped)?)
+            .await;
         let answer = proposed.map_err(|error| self.refuse_proposal(step, &error))?;
-        self.tell_news();
+        self.notify_state_change();
         decode(&answer).map_err(|error| refusal::unknown(&self.record, step, error))
     }
 
@@ -208,11 +225,10 @@
         }
     }
 
-    /// Waits until this machine has applied everything that was committed
-    /// when the call began.
+    /// Waits until this machine has applied every command that was committed when the call began.
     ///
     /// # Errors
-    /// A refusal when that can't be confirmed now.
+    /// Returns a refusal if a majority does not confirm this in time.
     pub(super) async fn barrier(&self, step: &'static str) -> Result<(), Box<Refusal>> {
         match self.group.read_barrier().await {
             Ok(_) => Ok(()),
@@ -220,13 +236,13 @@
         }
     }
 
-    /// Wakes readers of results.
-    pub(super) fn tell_news(&self) {
-        self.news.send_modify(|count| *count += 1);
+    /// Wakes the tasks that wait for a change of the replicated state or the leadership.
+    pub(super) fn notify_state_change(&self) {
+        self.state_changes.send_modify(|count| *count += 1);
     }
 
-    /// Wakes watches.
-    pub(super) fn tell_watch_news(&self) {
-        self.watch_news.send_modify(|count| *count += 1);
+    /// Wakes all pending watches.
+    pub(super) fn notify_watchers(&self) {
+        self.watch_changes.send_modify(|count| *count += 1);
     }
 }
--- a/crates/pinerill-cluster/src/server/jobs.rs
+++ b/crates/pinerill-cluster/src/server/jobs.rs
@@ -1,4 +1,5 @@
-//! Jobs: submissions, results, leases and reports.
+//! Handles requests about jobs: submission, results, leases of items, and reports of their
+//! outcomes. Also advances the group's clock while there are jobs.
 
 use std::time::Duration;
 
@@ -15,7 +16,7 @@
 use tokio::time::sleep;
 
 use super::control::Control;
-use super::older_builds::without_counted_limit;
+use super::older_builds::clear_token_limit;
 use super::refusal;
 use crate::leases::{LeaseArgs, LeaseDecision};
 use crate::machine::{
@@ -23,34 +24,37 @@
     QueuePosition,
 };
 
-/// How often a call that is missing in the table is looked for.
-const READ_TRIES: usize = 2;
-/// Longest time that an answer is held.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
-/// Bytes of texts in one answer, compressed; one text is always told.
-const PAGE_BYTES: usize = 256 << 10;
-/// What is added to the retention: the caller's clock began before the group's.
+/// Number of attempts to read an item's call if it is missing in the table.
+const MAX_READ_ATTEMPTS: usize = 2;
+/// Maximum time for which a request for results or leases is held open.
+const MAX_WAIT: Duration = Duration::from_secs(1);
+/// Limit on the compressed bytes of texts in one answer. An answer holds at least one text,
+/// however long it is.
+const MAX_PAGE_BYTES: usize = 256 << 10;
+/// Time added to the retention, because the caller counts it from an earlier moment than the group
+/// does.
 const RETENTION_MARGIN: Duration = Duration::from_secs(10);
-/// Part of the disk that calls and texts of jobs may take, percent. The rest is for
-/// the log with its margin (a twelfth), pages that wait for a commit to be used
-/// again, holes between pages of different sizes, and the error of the count, which
-/// takes sizes in the mean. With 75, disks of 47 MB got full at 37 MB of jobs.
-const JOBS_PERCENT_OF_DISK: u64 = 60;
-/// Part of the disk that the store's file may take while new jobs are taken, percent:
-/// what the count by means does not see. The file keeps the size that it once had.
-const STORE_PERCENT_OF_DISK: u64 = 85;
-/// Pause between two commands that let time pass.
-const UPKEEP_PAUSE: Duration = Duration::from_secs(1);
+/// Share of the disk that the calls and texts of jobs may occupy, percent. The rest is for the log
+/// with its margin (a twelfth), database pages that can't be reused before a commit, gaps between
+/// pages of different sizes, and the error of the accounting, which uses mean sizes. With 75
+/// percent, disks of 47 MB were full at 37 MB of jobs.
+const JOBS_DISK_PERCENT: u64 = 60;
+/// Share of the disk that the store's file may occupy while new jobs are accepted, percent. It
+/// covers what the accounting by mean sizes misses. The file never shrinks.
+const STORE_DISK_PERCENT: u64 = 85;
+/// Interval between two commands that advance the group's clock.
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A part of a job's results as it is in memory.
-struct ListedPart {
+/// Finished items of a job from a given position on, without their texts.
+struct ResultEntries {
     number: u64,
     total: u32,
     entries: Vec<(String, ListedRecord)>,
 }
 
 impl Control {
-    /// `format` is the one that the calls of the job's items name.
+    /// Submits a job unless it is already known or exceeds a limit. `format` is the format in
+    /// which the calls of its items are encoded.
     pub(super) async fn submit_job(
         &self,
         format: Format,
@@ -59,9 +63,10 @@
         let step = "submit job";
         let id = job.id.clone();
         let items = job.items.len();
-        let room_bytes = self.job_room_bytes();
-        // A job that is refused or known is not written to the log: the log is on
-        // the same disk. A refused one may fit by the time it would be applied.
+        let room_bytes = self.max_job_bytes();
+        // Rejected and known jobs are not written to the log, because the log is on the same disk.
+        // The rejection is final even if space would have been freed by the time the command was
+        // applied.
         self.with_leadership(step, |_| ())?;
         let admission = self
             .group
@@ -82,7 +87,7 @@
         if format != in_force {
             convert_job(&mut job, in_force);
         }
-        without_counted_limit(&mut job, in_force, self.table_in_force().as_deref());
+        clear_token_limit(&mut job, in_force, self.table_in_force().as_deref());
         let command = Command::SubmitJob {
             job: Box::new(job),
             room_bytes,
@@ -102,14 +107,15 @@
     }
 
     fn store_is_nearly_full(&self) -> bool {
-        let limit = (self.settings.disk_mb << 20) / 100 * STORE_PERCENT_OF_DISK;
+        let limit = (self.settings.disk_mb << 20) / 100 * STORE_DISK_PERCENT;
         limit > 0 && self.store_bytes().is_some_and(|bytes| bytes > limit)
     }
 
-    /// Bytes that jobs may take in the store; none for no bound.
-    fn job_room_bytes(&self) -> Option<u64> {
+    /// Returns the limit on the bytes that jobs may occupy in the store; `None` if the settings
+    /// name no disk size.
+    fn max_job_bytes(&self) -> Option<u64> {
         let disk_bytes = self.settings.disk_mb << 20;
-        (disk_bytes > 0).then_some(disk_bytes / 100 * JOBS_PERCENT_OF_DISK)
+        (disk_bytes > 0).then_some(disk_bytes / 100 * JOBS_DISK_PERCENT)
     }
 
     pub(super) async fn end_job(&self, job: CallJobId) -> Result<CallsResponse, Box<Refusal>> {
@@ -129,30 +135,32 @@
         Ok(CallsResponse::Done)
     }
 
-    /// Results from a position on; waits for one if there is none yet.
+    /// Returns the results of a job from a position on. Waits for the first one if there is none
+    /// yet, for at most the time that the request names and [`MAX_WAIT`]. The answer is
+    /// `Results(None)` if the job does not exist.
     pub(super) async fn read_results(
         &self,
         read: ReadResults,
     ) -> Result<CallsResponse, Box<Refusal>> {
         let step = "read results";
-        let wait = Duration::from_millis(read.wait_ms).min(LONGEST_WAIT);
+        let wait = Duration::from_millis(read.wait_ms).min(MAX_WAIT);
         let deadline = BootTime::now() + wait;
-        let mut news = self.news.subscribe();
+        let mut changes = self.state_changes.subscribe();
         self.barrier(step).await?;
         loop {
-            let Some(part) = self.listed_part(&read) else {
+            let Some(page) = self.result_entries(&read) else {
                 return Ok(CallsResponse::Results(None));
             };
-            let waited = BootTime::now() >= deadline;
-            if !part.entries.is_empty() || waited || self.stopping.is_cancelled() {
-                return self.with_texts(read.from, part).await;
+            let expired = BootTime::now() >= deadline;
+            if !page.entries.is_empty() || expired || self.stopping.is_cancelled() {
+                return self.results_with_texts(read.from, page).await;
             }
-            // Either there is news or the time is up; both are looked at above.
-            let _ = timeout_at(deadline, news.changed()).await;
+            // Ends either with a change or at the deadline; the loop checks for both.
+            let _ = timeout_at(deadline, changes.changed()).await;
         }
     }
 
-    fn listed_part(&self, read: &ReadResults) -> Option<ListedPart> {
+    fn result_entries(&self, read: &ReadResults) -> Option<ResultEntries> {
         self.group.with_machine(|machine| {
             let (number, record) = machine.jobs().find(&read.job)?;
             let listed = record.listed.iter().skip(read.from as usize);
@@ -160,7 +168,7 @@
                 let item = &record.items[one.index as usize];
                 (item.id.clone(), *one)
             });
-            Some(ListedPart {
+            Some(ResultEntries {
                 number,
                 total: record.items.len() as u32,
                 entries: entries.collect(),
@@ -168,16 +176,20 @@
         })
     }
 
-    /// Reads the texts. The table may lag behind what was applied, so a read
-    /// that meets a missing text waits for the table and looks again.
-    async fn with_texts(&self, from: u32, part: ListedPart) -> Result<CallsResponse, Box<Refusal>> {
+    /// Reads the texts of the entries from the table. The table may lag behind the applied state,
+    /// so if a text is missing, the read is repeated once after a barrier.
+    async fn results_with_texts(
+        &self,
+        from: u32,
+        page: ResultEntries,
+    ) -> Result<CallsResponse, Box<Refusal>> {
         let step = "read texts";
-        if let Some(entries) = self.read_texts(from, &part)? {
-            return Ok(results(from, part.total, entries));
+        if let Some(entries) = self.read_texts(from, &page)? {
+            return Ok(results_response(from, page.total, entries));
         }
         self.barrier(step).await?;
-        match self.read_texts(from, &part)? {
-            Some(entries) => Ok(results(from, part.total, entries)),
+        match self.read_texts(from, &page)? {
+            Some(entries) => Ok(results_response(from, page.total, entries)),
             None => Err(refusal::unavailable(
                 &self.record,
                 step,
@@ -186,26 +198,27 @@
         }
     }
 
-    /// None if a text is not there yet.
+    /// Returns the entries with their texts, up to [`MAX_PAGE_BYTES`], or `None` if a text is not
+    /// in the table yet.
     fn read_texts(
         &self,
         from: u32,
-        part: &ListedPart,
+        page: &ResultEntries,
     ) -> Result<Option<Vec<ListedItem>>, Box<Refusal>> {
         let failed =
             |error: &dyn std::fmt::Display| refusal::unavailable(&self.record, "read texts", error);
-        if part.entries.is_empty() {
+        if page.entries.is_empty() {
             return Ok(Some(Vec::new()));
         }
         let table = self.group.table().map_err(|error| failed(&error))?;
         let mut entries = Vec::new();
         let mut bytes = 0;
-        for (offset, (id, listed)) in part.entries.iter().enumerate() {
+        for (offset, (id, listed)) in page.entries.iter().enumerate() {
             let position = from + offset as u32;
             let text = match listed.state {
                 ListedState::Dead => Vec::new(),
                 ListedState::Completed => {
-                    let key = text_key(part.number, position);
+                    let key = text_key(page.number, position);
                     match table.get(&key).map_err(|error| failed(&error))? {
                         Some(text) => text,
                         None => return Ok(None),
@@ -213,7 +226,7 @@
                 }
             };
             bytes += text.len();
-            if bytes > PAGE_BYTES && !entries.is_empty() {
+            if bytes > MAX_PAGE_BYTES && !entries.is_empty() {
                 break;
             }
             entries.push(ListedItem {
@@ -225,13 +238,14 @@
         Ok(Some(entries))
     }
 
-    /// The call of an item that is not listed yet.
+    /// Returns the encoded call of an item that is still waiting, or `Item(None)` if the item is
+    /// unknown or no longer waits.
     pub(super) async fn read_item(&self, read: ReadItem) -> Result<CallsResponse, Box<Refusal>> {
         let step = "read item";
-        // The item may end between the look at the machine and the one at the table.
-        for _ in 0..READ_TRIES {
+        // The item may finish between the read of the state and that of the table.
+        for _ in 0..MAX_READ_ATTEMPTS {
             self.barrier(step).await?;
-            let Some((number, index)) = self.waiting_call(&read) else {
+            let Some((number, index)) = self.find_waiting_item(&read) else {
                 return Ok(CallsResponse::Item(None));
             };
             if let Some(call) = self.read_call(number, index)? {
@@ -245,8 +259,9 @@
         ))
     }
 
-    /// Number of the job and position of an item that waits.
-    fn waiting_call(&self, read: &ReadItem) -> Option<(u64, u32)> {
+    /// Returns the job's number and the item's index, or `None` if the item is unknown or does not
+    /// wait.
+    fn find_waiting_item(&self, read: &ReadItem) -> Option<(u64, u32)> {
         self.group.with_machine(|machine| {
             let (number, record) = machine.jobs().find(&read.job)?;
             let index = record.items.iter().position(|item| item.id == read.item)?;
@@ -263,39 +278,43 @@
         call.map_err(|error| refusal::unavailable(&self.record, step, error))
     }
 
-    /// Renews and hands out leases; waits for an item if none is free and the
-    /// node wants some.
+    /// Renews a node's leases and grants new ones. If the node asks for items and none is
+    /// available, waits for one, for at most the time that the request names and [`MAX_WAIT`].
     pub(super) async fn lease_items(
         &self,
         request: LeaseRequest,
     ) -> Result<CallsResponse, Box<Refusal>> {
-        let wait = Duration::from_millis(request.wait_ms).min(LONGEST_WAIT);
+        let wait = Duration::from_millis(request.wait_ms).min(MAX_WAIT);
         let deadline = BootTime::now() + wait;
         loop {
-            let decision = self.decide_in_turn(&request).await?;
+            let decision = self.decide_leases_with_permit(&request).await?;
             for _ in 0..decision.freed {
-                self.items_wait.notify_one();
+                self.item_available.notify_one();
             }
-            let has_news = !decision.leased.is_empty() || !decision.stop.is_empty();
-            if has_news || BootTime::now() >= deadline || self.stopping.is_cancelled() {
-                return Ok(self.described(decision));
+            let has_changes = !decision.leased.is_empty() || !decision.stop.is_empty();
+            if has_changes || BootTime::now() >= deadline || self.stopping.is_cancelled() {
+                return Ok(self.lease_response(decision));
             }
             match request.want > 0 {
-                // Either an item waits or the time is up; both are looked at above.
-                true => drop(timeout_at(deadline, self.items_wait.notified()).await),
+                // Ends either when an item becomes available or at the deadline; the loop checks
+                // for both.
+                true => drop(timeout_at(deadline, self.item_available.notified()).await),
                 false => sleep(deadline.remaining()).await,
             }
         }
     }
 
-    async fn decide_in_turn(&self, request: &LeaseRequest) -> Result<LeaseDecision, Box<Refusal>> {
-        let _turn = self.turns.acquire().await;
+    async fn decide_leases_with_permit(
+        &self,
+        request: &LeaseRequest,
+    ) -> Result<LeaseDecision, Box<Refusal>> {
+        let _turn = self.request_limiter.acquire().await;
         self.decide_leases(request)
     }
 
     fn decide_leases(&self, request: &LeaseRequest) -> Result<LeaseDecision, Box<Refusal>> {
         let now_ms = self.now_ms();
-        let ask = LeaseArgs {
+        let args = LeaseArgs {
             node: &request.node,
             held: &request.held,
             want: request.want as usize,
@@ -305,41 +324,44 @@
         let table = self.table_in_force();
         self.with_leadership("lease items", |leadership| {
             self.group.with_machine(|machine| {
-                let may_run = |job: &JobRecord| is_home(table.as_deref(), job, region);
+                let may_run = |job: &JobRecord| may_run_in_region(table.as_deref(), job, region);
                 let clock_ms = machine.clock_ms();
                 leadership
                     .leases
-                    .lease_where(now_ms, machine.jobs(), clock_ms, &ask, may_run)
+                    .lease_where(now_ms, machine.jobs(), clock_ms, &args, may_run)
             })
         })
     }
 
-    fn described(&self, decision: LeaseDecision) -> CallsResponse {
-        let places = decision.leased.into_iter();
+    fn lease_response(&self, decision: LeaseDecision) -> CallsResponse {
+        let positions = decision.leased.into_iter();
         CallsResponse::Leases(LeaseResponse {
-            leased: places.filter_map(|place| self.leased_item(place)).collect(),
+            leased: positions
+                .filter_map(|position| self.leased_item(position))
+                .collect(),
             stop: decision.stop,
             backlog_slack_ms: decision.backlog_slack_ms,
         })
     }
 
-    fn leased_item(&self, place: QueuePosition) -> Option<LeasedItem> {
+    fn leased_item(&self, position: QueuePosition) -> Option<LeasedItem> {
         self.group.with_machine(|machine| {
-            let record = machine.jobs().record(place.job)?;
-            let item = record.items.get(place.index as usize)?;
+            let record = machine.jobs().record(position.job)?;
+            let item = record.items.get(position.index as usize)?;
             Some(LeasedItem {
                 item: pinerill_calls::job::ItemRef {
                     job: record.id.clone(),
-                    index: place.index,
+                    index: position.index,
                 },
                 id: item.id.clone(),
                 host: record.host.clone(),
-                due_in_ms: place.due_ms as i64 - machine.clock_ms() as i64,
+                due_in_ms: position.due_ms as i64 - machine.clock_ms() as i64,
             })
         })
     }
 
-    /// Bytes that jobs take in the store now, and once all items are done.
+    /// Returns the bytes that jobs occupy in the store now, and those expected once all items are
+    /// done.
     pub(super) fn job_bytes(&self) -> (u64, u64) {
         self.group.with_machine(|machine| {
             let jobs = machine.jobs();
@@ -348,20 +370,20 @@
         })
     }
 
-    /// Bytes of the store's file; none if the file can't be looked at.
+    /// Returns the size of the store's file in bytes, or `None` if its metadata can't be read.
     pub(super) fn store_bytes(&self) -> Option<u64> {
         let path = self.settings.data_folder.join(DATABASE_FILE);
         Some(std::fs::metadata(path).ok()?.len())
     }
 
-    /// Logs the size of the store whenever it changed by a megabyte.
-    fn tell_store_size(&self, told_mb: &mut u64) {
+    /// Logs the size of the store's file if it differs by a megabyte from the last one logged.
+    fn log_store_size(&self, logged_mb: &mut u64) {
         let Some(bytes) = self.store_bytes() else {
             return;
         };
         let size_mb = bytes >> 20;
-        if size_mb != *told_mb {
-            *told_mb = size_mb;
+        if size_mb != *logged_mb {
+            *logged_mb = size_mb;
             let (jobs_bytes, expected_bytes) = self.job_bytes();
             log::info!(
                 event = "store_size", size_mb, disk_mb = self.settings.disk_mb, jobs_bytes,
@@ -370,12 +392,13 @@
         }
     }
 
-    /// Lets the group's time pass while there are jobs.
-    pub(super) async fn keep_up(&self) {
-        let mut told_mb = 0;
+    /// Advances the group's clock once per second while this machine leads and there are jobs, and
+    /// logs the size of the store. Never returns.
+    pub(super) async fn run_upkeep(&self) {
+        let mut logged_mb = 0;
         loop {
-            sleep(UPKEEP_PAUSE).await;
-            self.tell_store_size(&mut told_mb);
+            sleep(UPKEEP_INTERVAL).await;
+            self.log_store_size(&mut logged_mb);
             let idle = self.group.with_machine(|machine| machine.jobs().is_empty());
             if idle || !self.leads() {
                 continue;
@@ -392,9 +415,9 @@
     }
 }
 
-/// Whether items of a job may run in a region. Of one whose route is gone nobody knows where
-/// else it may not.
-fn is_home(table: Option<&RouteTable>, job: &JobRecord, region: Option<&str>) -> bool {
+/// Returns whether items of a job may run in a region. If the job's route no longer exists or no
+/// table is in force, they may run in any region, because no restriction is known.
+fn may_run_in_region(table: Option<&RouteTable>, job: &JobRecord, region: Option<&str>) -> bool {
     let Some(table) = table else {
         return true;
     };
@@ -403,7 +426,7 @@
     route.is_none_or(|route| table.homes_of(route, job.id.tenant()).allow(region))
 }
 
-fn results(from: u32, total: u32, entries: Vec<ListedItem>) -> CallsResponse {
+fn results_response(from: u32, total: u32, entries: Vec<ListedItem>) -> CallsResponse {
     CallsResponse::Results(Some(ResultPage {
         total,
         from,
--- a/crates/pinerill-cluster/src/server/leadership.rs
+++ b/crates/pinerill-cluster/src/server/leadership.rs
@@ -1,4 +1,5 @@
-//! Soft state of the leader: what it can ask again and never writes down.
+//! Soft state of the leader. It is not replicated or stored: a new leader starts without it and
+//! rebuilds it from the requests of nodes and control machines.
 
 use std::collections::BTreeMap;
 
@@ -13,45 +14,48 @@
 use crate::cells::Cells;
 use crate::leases::{LeaseBook, LeaseSettings};
 
-/// Nodes are not sent to a control machine that was silent for this long.
-const MACHINE_LIFE_MS: u64 = 4_000;
+/// Time without an announcement after which a control machine is left out of the list that nodes
+/// receive, milliseconds.
+const MACHINE_TIMEOUT_MS: u64 = 4_000;
 
-/// Time for which a look at the control machines serves all nodes, milliseconds.
-const CONTROLS_LIFE_MS: u64 = 200;
+/// Time for which a computed list of control machines is reused for all nodes, milliseconds.
+const CONTROLS_CACHE_MS: u64 = 200;
 
-/// How far limits may be exceeded, over all nodes.
+/// How far the limits may be exceeded by all nodes together.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Tolerances {
-    /// Those of tenants.
+    /// Tolerance for the limits of tenants.
     pub(super) quota: Tolerance,
-    /// Those of workers that are still cold.
+    /// Tolerance for the limits of workers in slow start.
     pub(super) slow_start: Tolerance,
 }
 
-/// One leadership of this machine.
+/// Soft state of one term in which this machine leads.
 pub(super) struct Leadership {
     term: u64,
     began_ms: u64,
     last_command_ms: u64,
-    /// Nodes that watch and workers of the platform list, by cell.
+    /// Watching nodes and the workers of the platform list, by cell.
     pub(super) cells: Cells,
-    /// When each control machine was last heard, by data folder.
-    machines: BTreeMap<u64, u64>,
-    /// Which node runs which item.
+    /// Time of the last announcement of each control machine, by identity of its data folder.
+    last_contact_ms: BTreeMap<u64, u64>,
+    /// Leases of items granted to nodes.
     pub(super) leases: LeaseBook,
-    /// Lends the tokens of tenants' calls.
+    /// Lends tokens for the calls of tenants.
     pub(super) lender: Lender,
-    /// The limits by which it does.
+    /// Limits that `lender` applies, by tenant.
     pub(super) limits: LimitIndex,
-    /// Lends permits for requests to workers that are still cold, by worker.
+    /// Lends permits for requests to workers in slow start, by worker.
     pub(super) slow_starts: Lender,
-    /// The route table in force with its version, as nodes are told it.
+    /// Version of the route table in force and the table as it is sent to nodes; `None` until a
+    /// node needs it.
     pub(super) packed_table: Option<(u64, Packed<RouteTable>)>,
-    /// Control machines as nodes were told last, and when they were looked at.
-    controls: Option<(u64, Vec<ControlAddress>)>,
-    /// Which formats the control machines read.
+    /// Time at which the list of control machines was last computed, and the list.
+    controls_cache: Option<(u64, Vec<ControlAddress>)>,
+    /// Newest message format that each control machine reads.
     pub(super) formats: MachineFormats,
-    /// When a majority was last asked whether this machine leads, and said so.
+    /// Start of the last request by which a majority confirmed this leadership; `None` before the
+    /// first confirmation.
     pub(super) confirmed_ms: Option<u64>,
 }
 
@@ -62,13 +66,13 @@
             began_ms: now_ms,
             last_command_ms: now_ms,
             cells: Cells::default(),
-            machines: BTreeMap::new(),
+            last_contact_ms: BTreeMap::new(),
             leases: LeaseBook::new(LeaseSettings::default(), now_ms),
             lender: Lender::new(tolerances.quota, now_ms),
             limits: LimitIndex::default(),
             slow_starts: Lender::new(tolerances.slow_start, now_ms),
             packed_table: None,
-            controls: None,
+            controls_cache: None,
             formats: MachineFormats::default(),
             confirmed_ms: None,
         }
@@ -78,48 +82,50 @@
         self.term
     }
 
-    /// How long it has lasted.
-    pub(super) fn lasted_ms(&self, now_ms: u64) -> u64 {
+    /// Returns the time since this leadership began, milliseconds.
+    pub(super) fn duration_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.began_ms)
     }
 
-    /// Time since the last command of this leadership.
-    pub(super) fn elapsed_ms(&mut self, now_ms: u64) -> u64 {
+    /// Returns the milliseconds since the previous command of this leadership, or since its
+    /// beginning for the first one, and restarts the measurement at `now_ms`.
+    pub(super) fn take_elapsed_ms(&mut self, now_ms: u64) -> u64 {
         let elapsed = now_ms.saturating_sub(self.last_command_ms);
         self.last_command_ms = now_ms;
         elapsed
     }
 
-    /// Notes that a control machine was heard.
-    pub(super) fn hear_machine(&mut self, replica: u64, now_ms: u64) {
-        self.machines.insert(replica, now_ms);
+    /// Records that a control machine announced itself.
+    pub(super) fn record_contact(&mut self, replica: u64, now_ms: u64) {
+        self.last_contact_ms.insert(replica, now_ms);
     }
 
-    /// Time since each control machine was heard.
-    pub(super) fn silence(&self, now_ms: u64) -> BTreeMap<u64, u64> {
-        let heard = self.machines.iter();
-        heard
+    /// Returns the milliseconds since the last announcement of each control machine, by identity
+    /// of its data folder.
+    pub(super) fn silent_ms(&self, now_ms: u64) -> BTreeMap<u64, u64> {
+        let contacts = self.last_contact_ms.iter();
+        contacts
             .map(|(replica, at)| (*replica, now_ms.saturating_sub(*at)))
             .collect()
     }
 
-    /// Control machines as they were looked at a moment ago: the look goes through all of them,
-    /// and all nodes ask twice a second.
-    pub(super) fn controls_told(&self, now_ms: u64) -> Option<Vec<ControlAddress>> {
-        let (at_ms, controls) = self.controls.as_ref()?;
-        (now_ms < at_ms + CONTROLS_LIFE_MS).then(|| controls.clone())
+    /// Returns the list of control machines if it was computed within [`CONTROLS_CACHE_MS`].
+    /// Computing it visits all control machines, and every node asks for it twice a second.
+    pub(super) fn cached_controls(&self, now_ms: u64) -> Option<Vec<ControlAddress>> {
+        let (at_ms, controls) = self.controls_cache.as_ref()?;
+        (now_ms < at_ms + CONTROLS_CACHE_MS).then(|| controls.clone())
     }
 
-    pub(super) fn keep_controls(&mut self, now_ms: u64, controls: Vec<ControlAddress>) {
-        self.controls = Some((now_ms, controls));
+    pub(super) fn cache_controls(&mut self, now_ms: u64, controls: Vec<ControlAddress>) {
+        self.controls_cache = Some((now_ms, controls));
     }
 
-    /// Control machines that were heard in this leadership and are silent
-    /// for long.
+    /// Returns the control machines that announced themselves in this leadership, but not within
+    /// the last [`MACHINE_TIMEOUT_MS`].
     pub(super) fn lost_machines(&self, now_ms: u64) -> Vec<u64> {
-        let silence = self.silence(now_ms).into_iter();
+        let silence = self.silent_ms(now_ms).into_iter();
         silence
-            .filter(|(_, silent_ms)| *silent_ms > MACHINE_LIFE_MS)
+            .filter(|(_, silent_ms)| *silent_ms > MACHINE_TIMEOUT_MS)
             .map(|(replica, _)| replica)
             .collect()
     }
--- a/crates/pinerill-cluster/src/server/members.rs
+++ b/crates/pinerill-cluster/src/server/members.rs
@@ -1,5 +1,5 @@
-//! Carries out changes of the group's membership, one at a time, and answers
-//! orders to empty a machine.
+//! Carries out membership changes of the replicated group, one at a time, while this machine
+//! leads, and handles operators' requests to drain a control machine.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,29 +15,31 @@
     is_drained, may_retire, next_step, MembershipSettings, MembershipStep, MembershipView,
 };
 
-/// Pause between two looks at the membership.
-const LOOK_PAUSE: Duration = Duration::from_millis(200);
-/// Silence after which a voter is replaced if another machine is there.
+/// Interval between two checks of the membership.
+const MEMBERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Time without contact after which a voter is replaced if another machine is available,
+/// milliseconds.
 const LOST_AFTER_MS: u64 = 6_000;
-/// Silence up to which a machine counts as present.
-const PRESENT_MS: u64 = 1_500;
+/// Time without contact up to which a machine counts as present, milliseconds.
+const PRESENCE_TIMEOUT_MS: u64 = 1_500;
 
 impl Control {
-    /// Looks at the membership again and again while this machine leads.
-    pub(super) async fn keep_members(&self) {
+    /// Checks the membership every [`MEMBERSHIP_CHECK_INTERVAL`] and carries out the next step
+    /// while this machine leads. Never returns.
+    pub(super) async fn run_membership_changes(&self) {
         loop {
-            sleep(LOOK_PAUSE).await;
+            sleep(MEMBERSHIP_CHECK_INTERVAL).await;
             if !self.leads() {
                 continue;
             }
-            let Ok(Some(step)) = self.with_view("look at members", next_step) else {
+            let Ok(Some(step)) = self.with_view("check membership", next_step) else {
                 continue;
             };
-            self.take_step(step).await;
+            self.apply_step(step).await;
         }
     }
 
-    async fn take_step(&self, step: MembershipStep) {
+    async fn apply_step(&self, step: MembershipStep) {
         log::info!(event = "membership_step", step:? = step; "");
         match step {
             MembershipStep::Change(change) => {
@@ -51,18 +53,18 @@
         }
     }
 
-    /// Looks at the membership as this leader knows it.
+    /// Runs `inspect` on the membership as this leader knows it.
     ///
     /// # Errors
-    /// When this machine does not lead.
+    /// Returns a refusal if this machine does not lead.
     fn with_view<R>(
         &self,
         step: &'static str,
-        look: impl FnOnce(&MembershipView<'_>) -> R,
+        inspect: impl FnOnce(&MembershipView<'_>) -> R,
     ) -> Result<R, Box<Refusal>> {
         let now_ms = self.now_ms();
         let (silent_ms, leading_ms) =
-            self.with_leadership(step, |one| (one.silence(now_ms), one.lasted_ms(now_ms)))?;
+            self.with_leadership(step, |one| (one.silent_ms(now_ms), one.duration_ms(now_ms)))?;
         let status = self.group.status();
         let mut caught_up: BTreeSet<u64> = status
             .peers
@@ -71,9 +73,9 @@
             .map(|peer| peer.id.0)
             .collect();
         caught_up.insert(self.record.replica);
-        let silent_ms = with_acknowledged(silent_ms, &status.peers);
+        let silent_ms = merge_replication_silence(silent_ms, &status.peers);
         Ok(self.group.with_machine(|machine: &ClusterMachine| {
-            look(&MembershipView {
+            inspect(&MembershipView {
                 own: ReplicaId(self.record.replica),
                 members: &status.members,
                 settled: status.members_committed,
@@ -87,18 +89,19 @@
                     min_voters: self.settings.least_voters(),
                     max_voters: self.settings.most_voters(),
                     lost_after_ms: LOST_AFTER_MS,
-                    present_ms: PRESENT_MS,
+                    present_ms: PRESENCE_TIMEOUT_MS,
                 },
             })
         }))
     }
 
-    /// Takes an order to empty the machine of this name.
+    /// Starts to drain the machine with this name, unless too few machines would remain. Has no
+    /// further effect if the drain has already started.
     pub(super) async fn start_retirement(&self, name: &str) -> Result<CallsResponse, Box<Refusal>> {
         let step = "start retirement";
         self.with_leadership(step, |_| ())?;
         self.barrier(step).await?;
-        let Some(replica) = self.replica_of(name) else {
+        let Some(replica) = self.replica_by_name(name) else {
             return Ok(CallsResponse::Retirement(RetirementState::Unknown));
         };
         let retiring = self
@@ -114,25 +117,25 @@
         Ok(CallsResponse::Retirement(RetirementState::Serving))
     }
 
-    /// How far the emptying of a machine is.
+    /// Returns whether the machine with this name has been drained.
     pub(super) fn retirement_state(&self, name: &str) -> Result<CallsResponse, Box<Refusal>> {
         let step = "look at retirement";
-        let Some(replica) = self.replica_of(name) else {
+        let Some(replica) = self.replica_by_name(name) else {
             self.with_leadership(step, |_| ())?;
             return Ok(CallsResponse::Retirement(RetirementState::Unknown));
         };
         let retiring = self
             .group
             .with_machine(|machine| machine.retiring().contains(&replica));
-        let emptied = self.with_view(step, |view| is_drained(view, ReplicaId(replica)))?;
-        let state = match retiring && emptied {
+        let drained = self.with_view(step, |view| is_drained(view, ReplicaId(replica)))?;
+        let state = match retiring && drained {
             true => RetirementState::Completed,
             false => RetirementState::Serving,
         };
         Ok(CallsResponse::Retirement(state))
     }
 
-    fn replica_of(&self, name: &str) -> Option<u64> {
+    fn replica_by_name(&self, name: &str) -> Option<u64> {
         self.group.with_machine(|machine| {
             let mut records = machine.machines().iter();
             let found = records.find(|(_, record)| record.name == name)?;
@@ -141,8 +144,10 @@
     }
 }
 
-/// A machine is heard by what it says and by what it acknowledges.
-fn with_acknowledged(
+/// Merges the time since each peer last acknowledged a replication message into `silent_ms`,
+/// milliseconds by machine, and keeps the shorter time. A machine counts as in contact by its
+/// announcements and by its acknowledgements.
+fn merge_replication_silence(
     mut silent_ms: BTreeMap<u64, u64>,
     peers: &[pinerill_replica::PeerStatus],
 ) -> BTreeMap<u64, u64> {
--- a/crates/pinerill-cluster/src/server/mod.rs
+++ b/crates/pinerill-cluster/src/server/mod.rs
@@ -1,29 +1,31 @@
-//! The process of a control machine.
+//! Server process of a control machine.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! |---|---|
-//! | `run` | starts and stops the parts |
-//! | `control` | what the parts share |
+//! | `run` | starts and stops the tasks and listeners |
+//! | `control` | state that all modules share |
 //! | `leadership` | soft state of the leader |
-//! | `service` | hands each internal request to its part |
-//! | `watch` | the nodes' long polls |
+//! | `leader_hint` | leader as named by other machines |
+//! | `service` | decodes internal requests and dispatches them |
+//! | `watch` | long polls of nodes |
 //! | `jobs` | submissions, results, leases |
-//! | `peers` | other control machines: joining, addresses |
-//! | `members` | carries out changes of the group's membership |
-//! | `workers` | reads the platform list |
-//! | `operators` | operators' requests |
-//! | `zones` | operators' orders about zones |
-//! | `quota`, `slow_start` | lend tokens of tenants' calls, and of requests to cold workers |
-//! | `upgrade` | formats of commands while machines of several builds stand side by side |
-//! | `older_builds` | answers processes of older builds |
+//! | `peers` | announcements to other control machines and their addresses |
+//! | `members` | membership changes of the group |
+//! | `workers` | polls the platform list of workers |
+//! | `operators` | HTTP requests of operators |
+//! | `zones` | evacuation and return of zones |
+//! | `quota`, `slow_start` | lend tokens for calls of tenants, and permits for requests to cold workers |
+//! | `upgrade` | format of commands while machines run different builds |
+//! | `older_builds` | answers to processes of older builds |
+//! | `refusal` | constructors of refusals |
 //! | `monitoring` | metrics and readiness |
 
 mod control;
 mod jobs;
+mod leader_hint;
 mod leadership;
 mod members;
 mod monitoring;
-mod named_leader;
 mod older_builds;
 mod operators;
 mod peers;
--- a/crates/pinerill-cluster/src/server/monitoring.rs
+++ b/crates/pinerill-cluster/src/server/monitoring.rs
@@ -1,4 +1,4 @@
-//! What operators and their monitoring look at.
+//! Metrics and readiness of a control machine.
 
 use std::fmt::Write;
 use std::sync::atomic::Ordering;
@@ -32,7 +32,7 @@
         let format = self.group.with_machine(|machine| machine.format());
         line("format_in_force", u64::from(format.byte()));
         line("halted", u64::from(status.halted));
-        let unread = self.unread_requests.load(Ordering::Relaxed);
+        let unread = self.unreadable_requests.load(Ordering::Relaxed);
         line("requests_unread_total", unread);
         line("votes", u64::from(status.members.is_voter(status.replica)));
         line("knows_leader", u64::from(self.leader_address().is_some()));
--- a/crates/pinerill-cluster/src/server/older_builds.rs
+++ b/crates/pinerill-cluster/src/server/older_builds.rs
@@ -1,4 +1,4 @@
-//! Answers nodes and control machines of older builds in the forms that they read.
+//! Converts requests and responses for nodes and control machines of older builds.
 
 use std::collections::VecDeque;
 
@@ -14,43 +14,46 @@
 use super::control::Control;
 use super::refusal;
 
-/// Digests of older formats that are remembered: a directory has one in each format, and nodes
-/// name the present one or one of the last few.
-const DIGESTS_KEPT: usize = 32;
+/// Number of digests in older formats that are retained. A directory has a different digest in
+/// each format, and nodes name the digest of the current directory or of one of the few before it.
+const MAX_OLDER_DIGESTS: usize = 32;
 
-/// No node of an older build knows of evacuations; none is news to it.
-const ANY_EVACUATIONS: u64 = u64::MAX;
+/// Revision that a watch names so that its response contains no evacuations: older builds can't
+/// read them.
+const MAX_EVACUATION_REVISION: u64 = u64::MAX;
 
-/// Which present digest a digest of an older format stands for.
+/// Maps digests of directories in older formats to those in the current format.
 #[derive(Debug, Default)]
 pub(super) struct OlderDigests {
-    /// The newest last.
+    /// Pairs of an older and a current digest, oldest first.
     pairs: VecDeque<(Digest, Digest)>,
 }
 
 impl OlderDigests {
-    fn present(&self, older: Digest) -> Option<Digest> {
+    fn current_digest(&self, older: Digest) -> Option<Digest> {
         let mut pairs = self.pairs.iter();
-        pairs.find(|(one, _)| *one == older).map(|(_, now)| *now)
+        pairs
+            .find(|(one, _)| *one == older)
+            .map(|(_, current)| *current)
     }
 
-    fn keep(&mut self, older: Digest, present: Digest) {
-        if self.present(older) == Some(present) {
+    fn insert(&mut self, older: Digest, current: Digest) {
+        if self.current_digest(older) == Some(current) {
             return;
         }
-        self.pairs.push_back((older, present));
-        if self.pairs.len() > DIGESTS_KEPT {
+        self.pairs.push_back((older, current));
+        if self.pairs.len() > MAX_OLDER_DIGESTS {
             self.pairs.pop_front();
         }
     }
 }
 
 impl Control {
-    /// Carries out a request that came in a format, of an asker in a zone.
+    /// Handles a request that was encoded in `format` by a peer in `zone`.
     ///
     /// # Errors
-    /// A refusal, with the leader where another machine can answer.
-    pub(super) async fn answer_as(
+    /// Returns a refusal; it names the leader if another machine can answer.
+    pub(super) async fn answer_in_format(
         &self,
         format: Format,
         zone: &str,
@@ -58,10 +61,10 @@
     ) -> Result<CallsResponse, Box<Refusal>> {
         match request {
             CallsRequest::Watch(watch) if format != Format::NEWEST => {
-                self.watch_of_older(format, watch).await
+                self.watch_older_build(format, watch).await
             }
             CallsRequest::LeaseItems(mut lease) if format != Format::NEWEST => {
-                // Older builds tell their zone in the handshake alone.
+                // Older builds send their zone only in the handshake.
                 lease.zone = zone.to_owned();
                 self.lease_items(lease).await
             }
@@ -73,80 +76,82 @@
                 other => Ok(other),
             },
             CallsRequest::Join(join) => {
-                self.may_take_part(&join.machine, format)?;
-                self.joined(join, format).await
+                self.admit_machine(&join.machine, format)?;
+                self.handle_join(join, format).await
             }
-            other => self.answer(other).await,
+            other => self.handle_request(other).await,
         }
     }
 
-    /// A watch of an older build: it is told whole directories, named as it names them.
-    async fn watch_of_older(
+    /// Answers the watch of an older build. The response holds a directory only as a whole, and
+    /// its digests are computed in the peer's format.
+    async fn watch_older_build(
         &self,
         format: Format,
-        asked: WatchRequest,
+        request: WatchRequest,
     ) -> Result<CallsResponse, Box<Refusal>> {
-        let known_processes = asked.processes;
+        let known_processes = request.processes;
         let named_by_digest = format >= Format::DIGESTS;
-        let mut watch = asked;
+        let mut watch = request;
         watch.processes = None;
-        watch.evacuations = Some(ANY_EVACUATIONS);
+        watch.evacuations = Some(MAX_EVACUATION_REVISION);
         if let (true, Some(older)) = (named_by_digest, watch.directory) {
-            watch.directory = self.older_digests.lock().present(older);
+            watch.directory = self.older_digests.lock().current_digest(older);
         }
-        let mut response = self.watched(watch.clone()).await?;
+        let mut response = self.watch_response(watch.clone()).await?;
         if response.directory.is_some() {
             watch.directory = None;
             watch.wait_ms = 0;
-            response = self.watched(watch).await?;
+            response = self.watch_response(watch).await?;
         }
         if !named_by_digest {
             return Ok(CallsResponse::Watch(Box::new(response)));
         }
         if let Some(packed) = response.directory.take() {
             let update = packed.unpack();
-            let update = update.map_err(|error| self.not_told(error))?;
-            response.directory = Some(Packed::new(&self.older_update(format, update)));
+            let update = update.map_err(|error| self.watch_refusal(error))?;
+            response.directory = Some(Packed::new(&self.convert_update(format, update)));
         }
         let processes = response.processes.as_ref();
-        let digest = processes.map(|told| older_processes_digest(format, told));
+        let digest = processes.map(|sent| older_processes_digest(format, sent));
         if digest == known_processes {
             response.processes = None;
         }
         Ok(CallsResponse::Watch(Box::new(response)))
     }
 
-    async fn watched(&self, watch: WatchRequest) -> Result<WatchResponse, Box<Refusal>> {
+    async fn watch_response(&self, watch: WatchRequest) -> Result<WatchResponse, Box<Refusal>> {
         match self.watch(watch).await? {
             CallsResponse::Watch(response) => Ok(*response),
-            _ => Err(self.not_told("an answer of another kind")),
+            _ => Err(self.watch_refusal("an answer of another kind")),
         }
     }
 
-    /// The same whole directory, named by its digest in an older format.
-    fn older_update(&self, format: Format, update: DirectoryUpdate) -> DirectoryUpdate {
+    /// Replaces the digest of a whole directory by the one in an older format and remembers which
+    /// current digest it stands for. Other updates are returned unchanged.
+    fn convert_update(&self, format: Format, update: DirectoryUpdate) -> DirectoryUpdate {
         let DirectoryChange::Whole(workers) = update.change else {
             return update;
         };
         let directory = Directory::new(workers);
         let digest = directory.digest_in_format(format);
         let mut digests = self.older_digests.lock();
-        digests.keep(digest, update.digest);
+        digests.insert(digest, update.digest);
         DirectoryUpdate {
             digest,
             change: DirectoryChange::Whole(directory.workers().to_vec()),
         }
     }
 
-    fn not_told(&self, error: impl std::fmt::Display) -> Box<Refusal> {
+    fn watch_refusal(&self, error: impl std::fmt::Display) -> Box<Refusal> {
         refusal::unavailable(&self.record, "answer a watch of an older build", error)
     }
 }
 
-/// Takes the limit out of a job where replicas of two builds would count the tokens that wait
-/// differently: builds of formats without tenants don't tell these apart. The leader has decided
-/// before, though several jobs at once may then pass the limit together.
-pub(super) fn without_counted_limit(
+/// Removes the limit on waiting tokens from a job if replicas of different builds would count
+/// those tokens differently: formats without tenants don't distinguish the tokens of tenants. The
+/// leader has checked the limit already, but several concurrent jobs may exceed it together.
+pub(super) fn clear_token_limit(
     job: &mut NewCallJob,
     in_force: Format,
     table: Option<&RouteTable>,
--- a/crates/pinerill-cluster/src/server/operators.rs
+++ b/crates/pinerill-cluster/src/server/operators.rs
@@ -1,4 +1,5 @@
-//! Operators' requests, in whatever manner their protocol has.
+//! HTTP server for operators. The operator protocol parses the requests and renders the answers;
+//! changes of the replicated state are forwarded to the leader.
 
 use std::sync::Arc;
 
@@ -15,10 +16,10 @@
 use super::refusal;
 use crate::machine::{Applied, Command};
 
-/// Longest document.
-const DOCUMENT_LIMIT_MIB: u64 = 16;
+/// Maximum size of a request body, MiB.
+const MAX_DOCUMENT_MIB: u64 = 16;
 
-/// The server for operators.
+/// Builds the HTTP server that handles all operator requests.
 pub(super) fn server(control: Arc<Control>) -> Rocket<Build> {
     let address = control.settings.operator_listen;
     let handler = OperatorHandler { control };
@@ -38,12 +39,12 @@
 #[rocket::async_trait]
 impl Handler for OperatorHandler {
     async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
-        let answer = self.control.operate(request, data).await;
-        Outcome::Success(response(answer))
+        let answer = self.control.handle_operation(request, data).await;
+        Outcome::Success(http_response(answer))
     }
 }
 
-fn response<'r>(answer: HttpAnswer) -> Response<'r> {
+fn http_response<'r>(answer: HttpAnswer) -> Response<'r> {
     let mut response = Response::build();
     response.status(Status::new(answer.status.as_u16()));
     for (name, value) in &answer.headers {
@@ -56,9 +57,9 @@
 }
 
 impl Control {
-    async fn operate(&self, request: &Request<'_>, data: Data<'_>) -> HttpAnswer {
+    async fn handle_operation(&self, request: &Request<'_>, data: Data<'_>) -> HttpAnswer {
         let answer = match self.read_operation(request, data).await {
-            Ok(operation) => self.carry_out(operation).await,
+            Ok(operation) => self.execute_operation(operation).await,
             Err(answer) => answer,
         };
         self.operators.answer(&answer)
@@ -70,7 +71,7 @@
         data: Data<'_>,
     ) -> Result<OperatorRequest, OperatorAnswer> {
         let invalid = |message: String| OperatorAnswer::Invalid(message);
-        let read = data.open(DOCUMENT_LIMIT_MIB.mebibytes()).into_bytes().await;
+        let read = data.open(MAX_DOCUMENT_MIB.mebibytes()).into_bytes().await;
         let body = read.map_err(|error| OperatorAnswer::Unavailable(error.to_string()))?;
         if !body.is_complete() {
             return Err(invalid("the document is too long".to_owned()));
@@ -87,55 +88,59 @@
             .map_err(|error| invalid(error.to_string()))
     }
 
-    async fn carry_out(&self, operation: OperatorRequest) -> OperatorAnswer {
+    async fn execute_operation(&self, operation: OperatorRequest) -> OperatorAnswer {
         match operation {
-            OperatorRequest::PutTable(put) => self.operate_put(*put).await,
-            OperatorRequest::GetDocument => self.operate_get().await,
+            OperatorRequest::PutTable(put) => self.operator_put_table(*put).await,
+            OperatorRequest::GetDocument => self.operator_get_document().await,
             OperatorRequest::StartRetirement(name) => {
-                self.operate_retirement(CallsRequest::StartRetirement(name))
+                self.operator_retirement(CallsRequest::StartRetirement(name))
                     .await
             }
             OperatorRequest::RetirementState(name) => {
-                self.operate_retirement(CallsRequest::RetirementState(name))
+                self.operator_retirement(CallsRequest::RetirementState(name))
                     .await
             }
             OperatorRequest::EvacuateZone(zone) => {
-                self.operate_zone(zone, CallsRequest::EvacuateZone).await
+                self.operator_zone_order(zone, CallsRequest::EvacuateZone)
+                    .await
             }
             OperatorRequest::ReturnZone(zone) => {
-                self.operate_zone(zone, CallsRequest::ReturnZone).await
+                self.operator_zone_order(zone, CallsRequest::ReturnZone)
+                    .await
             }
         }
     }
 
-    async fn operate_put(&self, put: PutTable) -> OperatorAnswer {
+    async fn operator_put_table(&self, put: PutTable) -> OperatorAnswer {
         if let Err(error) = put.table.check() {
             log::info!(event = "table_invalid", version = put.table.version, error:%; "");
             return OperatorAnswer::Invalid(error.to_string());
         }
         let version = put.table.version;
-        let answer = self.at_leader(CallsRequest::PutTable(Box::new(put))).await;
+        let answer = self
+            .forward_to_leader(CallsRequest::PutTable(Box::new(put)))
+            .await;
         match answer {
             Ok(CallsResponse::Done) => {
                 log::info!(event = "table_acknowledged", version; "");
                 OperatorAnswer::TableKept
             }
-            other => unavailable(other),
+            other => operator_failure(other),
         }
     }
 
-    /// A machine that follows no leader, since it is no member of the group, can't confirm
-    /// a document of its own and asks the leader that others name.
-    async fn operate_get(&self) -> OperatorAnswer {
+    /// Returns the document in force. A machine that is not a member of the group follows no
+    /// leader and can't confirm its own copy, so it asks the leader that other machines named.
+    async fn operator_get_document(&self) -> OperatorAnswer {
         let read = match self.group.status().leader.is_some() {
             true => self.read_document().await,
-            false => self.at_leader(CallsRequest::ReadDocument).await,
+            false => self.forward_to_leader(CallsRequest::ReadDocument).await,
         };
         match read {
             Ok(CallsResponse::Document(Some(document))) => OperatorAnswer::Document(document),
             Ok(CallsResponse::Document(None)) => OperatorAnswer::NoDocument,
             other => {
-                let answer = unavailable(other);
+                let answer = operator_failure(other);
                 log::warn!(
                     event = "document_not_read", machine = self.record.name.as_str(),
                     leader:? = self.leader_address(), answer:?; ""
@@ -145,23 +150,23 @@
         }
     }
 
-    /// The document in force, confirmed by the quorum.
+    /// Returns the document in force after a majority has confirmed that it is current.
     pub(super) async fn read_document(&self) -> Result<CallsResponse, Box<Refusal>> {
         self.barrier("read document").await?;
         let document = self
             .group
-            .with_machine(|machine| machine.table().map(|held| held.document.clone()));
+            .with_machine(|machine| machine.table().map(|stored| stored.document.clone()));
         Ok(CallsResponse::Document(document))
     }
 
-    async fn operate_retirement(&self, request: CallsRequest) -> OperatorAnswer {
-        match self.at_leader(request).await {
+    async fn operator_retirement(&self, request: CallsRequest) -> OperatorAnswer {
+        match self.forward_to_leader(request).await {
             Ok(CallsResponse::Retirement(state)) => OperatorAnswer::Retirement(state),
-            other => unavailable(other),
+            other => operator_failure(other),
         }
     }
 
-    /// Accepts a route table; the one with the highest version is in force.
+    /// Stores a route table after validating it. The table with the highest version is in force.
     pub(super) async fn put_table(&self, put: PutTable) -> Result<CallsResponse, Box<Refusal>> {
         let step = "put table";
         if let Err(error) = put.table.check() {
@@ -181,7 +186,7 @@
     }
 }
 
-pub(super) fn unavailable(answer: Result<CallsResponse, Box<Refusal>>) -> OperatorAnswer {
+pub(super) fn operator_failure(answer: Result<CallsResponse, Box<Refusal>>) -> OperatorAnswer {
     match answer {
         Err(refusal) if refusal.code == RefusalCode::Invalid => {
             OperatorAnswer::Invalid(refusal.message)
--- a/crates/pinerill-cluster/src/server/peers.rs
+++ b/crates/pinerill-cluster/src/server/peers.rs
@@ -1,8 +1,9 @@
-//! Other control machines: who there are, where they listen, joining.
+//! Communication with other control machines: announcements, address discovery, connections, and
+//! forwarding of requests to the leader.
 //!
-//! A machine is told some addresses at its start and learns the others from
-//! the machines that it reaches. Each tells the leader again and again that it
-//! is there; the leader records it and the group's membership follows.
+//! A machine starts with the seed addresses of its settings and learns further ones from the
+//! machines that it reaches. Each machine announces itself to the leader periodically; the leader
+//! records it, and the group's membership follows.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,23 +23,26 @@
 use crate::connections::KnownMachines;
 use crate::machine::Command;
 
-/// Pause between two rounds of telling others.
-const ROUND_PAUSE: Duration = Duration::from_millis(400);
-/// Rounds after which other machines are told too, not the leader alone.
+/// Interval between two rounds of announcements.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(400);
+/// Every round with a number divisible by this one is sent to other machines as well, not only to
+/// the leader.
 const ROUNDS_PER_GOSSIP: u32 = 5;
-/// Machines that are told in such a round while a leader is known: a new address is at
-/// all of 45 machines after three rounds, and messages grow with their number only.
-const GOSSIP_PEERS: usize = 5;
-/// Control machines that nodes are told, where there are not more members: enough to find the
-/// leader by while several are lost. All of them would be told to each node again whenever one
-/// comes or goes.
-const CONTROLS_TOLD: usize = 16;
-/// Longest wait for an answer.
-const ANSWER_TIME: Duration = Duration::from_millis(800);
+/// Number of machines that receive the announcements of such a round while a leader is known. With
+/// 5, a new address reaches all of 45 machines after three rounds, and the number of messages
+/// grows only linearly with that of machines.
+const GOSSIP_FANOUT: usize = 5;
+/// Maximum number of control machines in the list for nodes, unless the group has more members.
+/// The list is large enough to find the leader while several machines are lost. A list of all
+/// machines would be sent to each node again whenever a machine joins or leaves.
+const MAX_LISTED_CONTROLS: usize = 16;
+/// Timeout of a request to another control machine.
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 impl Control {
-    /// Internal addresses of all control machines that are known here.
+    /// Returns the internal addresses of all control machines that this one knows, including its
+    /// own.
     pub(super) fn known_addresses(&self) -> Vec<SocketAddr> {
-        let mut known: Vec<SocketAddr> = self.learnt.lock().iter().copied().collect();
+        let mut known: Vec<SocketAddr> = self.learned_addresses.lock().iter().copied().collect();
         known.push(self.record.address);
         let recorded = self.group.with_machine(|machine| {
             let records = machine.machines().values();
@@ -50,8 +54,9 @@
         known
     }
 
-    /// Where nodes find control machines: all members but for those in `lost`, and some others
-    /// that are recorded. Before any is recorded, all that are known.
+    /// Returns the control machines that nodes may connect to: all members except those in `lost`,
+    /// then other recorded machines, up to [`MAX_LISTED_CONTROLS`]. Before any machine is
+    /// recorded, returns all known addresses.
     pub(super) fn known_controls(&self, lost: &[u64]) -> Vec<ControlAddress> {
         let members = self.group.status().members;
         let mut recorded: Vec<ControlAddress> = self.group.with_machine(|machine| {
@@ -67,8 +72,8 @@
         });
         if !recorded.is_empty() {
             recorded.sort_by_key(|one| !one.is_member);
-            let told = CONTROLS_TOLD.max(members.voters.len() + members.learners.len());
-            recorded.truncate(told);
+            let limit = MAX_LISTED_CONTROLS.max(members.voters.len() + members.learners.len());
+            recorded.truncate(limit);
             return recorded;
         }
         let known = self.known_addresses().into_iter();
@@ -81,22 +86,23 @@
             .collect()
     }
 
-    /// Takes in that a machine is there; the leader records a new one.
-    pub(super) async fn joined(
+    /// Handles the announcement of a machine that reads formats up to `reads`. The leader records
+    /// a machine that is new.
+    pub(super) async fn handle_join(
         &self,
         join: JoinRequest,
         reads: Format,
     ) -> Result<CallsResponse, Box<Refusal>> {
-        self.learn(&join.known);
-        self.learn(&[join.machine.address]);
+        self.learn_addresses(&join.known);
+        self.learn_addresses(&[join.machine.address]);
         if self.leads() {
             let now_ms = self.now_ms();
             let replica = join.machine.replica;
-            let is_news = self.with_leadership("join", |one| {
-                one.hear_machine(replica, now_ms);
-                one.formats.hear(replica, reads)
+            let is_change = self.with_leadership("join", |leadership| {
+                leadership.record_contact(replica, now_ms);
+                leadership.formats.record(replica, reads)
             })?;
-            if is_news {
+            if is_change {
                 let machine = join.machine.name.as_str();
                 log::info!(event = "machine_reads", machine, replica, format:% = reads; "");
             }
@@ -112,8 +118,9 @@
         }))
     }
 
-    /// The leader as this machine's own replica knows it. What others named is
-    /// not passed on: it would be believed without end.
+    /// Returns the leader that this machine's own replica follows, or `None`. A leader named by
+    /// another machine is not passed on, because machines could then confirm it to each other
+    /// without end.
     fn followed_leader(&self) -> Option<KnownLeader> {
         let status = self.group.status();
         let leader = status.leader?;
@@ -123,23 +130,23 @@
         })
     }
 
-    /// Takes in that there are machines at these addresses.
-    pub(super) fn learn(&self, addresses: &[SocketAddr]) {
-        let mut learnt = self.learnt.lock();
-        let before = learnt.len();
+    /// Adds addresses of control machines, and updates the connections if one of them is new.
+    pub(super) fn learn_addresses(&self, addresses: &[SocketAddr]) {
+        let mut learned_addresses = self.learned_addresses.lock();
+        let before = learned_addresses.len();
         let others = addresses.iter().filter(|one| **one != self.record.address);
-        learnt.extend(others);
-        let is_news = learnt.len() > before;
-        drop(learnt);
-        if is_news {
-            self.keep_connections();
+        learned_addresses.extend(others);
+        let is_change = learned_addresses.len() > before;
+        drop(learned_addresses);
+        if is_change {
+            self.update_connections();
         }
     }
 
-    /// Opens the connections to other machines that are wanted now, and ends the others.
-    fn keep_connections(&self) {
+    /// Opens connections to the machines that are needed now and closes all others.
+    fn update_connections(&self) {
         let known = self.known_addresses();
-        let random = some_of(known.clone());
+        let random = random_sample(known.clone());
         let machines = KnownMachines {
             own: self.record.address,
             known: known.into_iter().collect(),
@@ -148,12 +155,13 @@
             leader: self.leader_address(),
         };
         let mut wanted = machines.connection_targets(&random);
-        let kept = self.pool.addresses();
+        let connected = self.pool.addresses();
         if machines.leader.is_none() {
-            // More and more of them, until a leader is found.
-            wanted.extend(&kept);
+            // Without a leader, connections are only added, so that each round reaches more
+            // machines.
+            wanted.extend(&connected);
         }
-        for address in kept.iter().filter(|one| !wanted.contains(one)) {
+        for address in connected.iter().filter(|one| !wanted.contains(one)) {
             self.pool.remove(*address);
         }
         for address in wanted {
@@ -189,65 +197,66 @@
         Ok(())
     }
 
-    /// Tells the others again and again that this machine is there.
-    pub(super) async fn keep_joined(&self) {
+    /// Announces this machine to others in rounds, [`ANNOUNCE_INTERVAL`] apart. Never returns.
+    pub(super) async fn announce_periodically(&self) {
         let mut round: u32 = 0;
         loop {
-            self.tell_others(round).await;
+            self.announce_to_peers(round).await;
             round = round.wrapping_add(1);
-            sleep(ROUND_PAUSE).await;
+            sleep(ANNOUNCE_INTERVAL).await;
         }
     }
 
-    async fn tell_others(&self, round: u32) {
-        self.keep_connections();
+    async fn announce_to_peers(&self, round: u32) {
+        self.update_connections();
         if self.leads() {
             let own = self.record.clone();
-            let joining = JoinRequest {
+            let announcement = JoinRequest {
                 machine: own,
                 known_digest: Digest::of(&self.known_addresses()),
                 known: Vec::new(),
             };
-            // Whatever is refused here is tried in the next round.
-            let _ = self.joined(joining, Format::NEWEST).await;
+            // A refusal is ignored, because the next round retries.
+            let _ = self.handle_join(announcement, Format::NEWEST).await;
         }
         let leader = self.leader_address();
         let gossip = round.is_multiple_of(ROUNDS_PER_GOSSIP);
         let addresses = match leader {
             Some(address) if !gossip => vec![address],
-            Some(_) => some_of(self.pool.addresses()),
+            Some(_) => random_sample(self.pool.addresses()),
             None => self.pool.addresses(),
         };
         let others = addresses
             .into_iter()
             .filter(|one| *one != self.record.address);
-        let told = others.map(|address| self.tell(address));
-        futures::future::join_all(told).await;
+        let announcements = others.map(|address| self.announce_to(address));
+        futures::future::join_all(announcements).await;
     }
 
-    async fn tell(&self, address: SocketAddr) {
+    async fn announce_to(&self, address: SocketAddr) {
         let known = self.known_addresses();
         let known_digest = Digest::of(&known);
-        let same = self.told_digests.lock().get(&address) == Some(&known_digest);
+        let same = self.peer_digests.lock().get(&address) == Some(&known_digest);
         let request = CallsRequest::Join(JoinRequest {
             machine: self.record.clone(),
             known_digest,
             known: if same { Vec::new() } else { known },
         });
-        // The leader learns from this request which formats this machine reads.
-        let send = |request| self.pool.call(address, request, ANSWER_TIME);
+        // The newest format is used because the leader infers from it which formats this machine
+        // reads.
+        let send = |request| self.pool.call(address, request, CALL_TIMEOUT);
         let answered = self
             .peer_formats
             .ask_in_newest_format(address, &request, send)
             .await;
         let answer = answered.map(|answered| answered.response);
         if let Ok(CallsResponse::Joined(joined)) = answer {
-            let mut told = self.told_digests.lock();
-            told.insert(address, joined.known_digest);
-            drop(told);
-            self.learn(&joined.known);
+            let mut digests = self.peer_digests.lock();
+            digests.insert(address, joined.known_digest);
+            drop(digests);
+            self.learn_addresses(&joined.known);
             if let Some(leader) = joined.leader {
-                self.named_leader.lock().take_in(leader);
+                self.leader_hint.lock().update(leader);
                 if leader.address != self.record.address {
                     self.pool.add(leader.address);
                 }
@@ -255,17 +264,16 @@
         }
     }
 
-    /// Passes a request on to the leader, or carries it out if this machine
-    /// leads.
+    /// Forwards a request to the leader, or handles it here if this machine leads.
     ///
     /// # Errors
-    /// A refusal, with an unknown outcome if the leader may have done it.
-    pub(super) async fn at_leader(
+    /// Returns a refusal, with an unknown outcome if the leader may have carried out the request.
+    pub(super) async fn forward_to_leader(
         &self,
         request: CallsRequest,
     ) -> Result<CallsResponse, Box<Refusal>> {
         if self.leads() {
-            return Box::pin(self.answer(request)).await;
+            return Box::pin(self.handle_request(request)).await;
         }
         let step = "pass on to the leader";
         let Some(leader) = self.leader_address() else {
@@ -275,24 +283,24 @@
                 "no leader is known",
             ));
         };
-        let answer = self.ask(leader, &request).await;
+        let answer = self.call_peer(leader, &request).await;
         answer.map_err(|error| super::refusal::unknown(&self.record, step, error))
     }
 
-    /// Asks another machine in a format that it reads.
-    async fn ask(
+    /// Sends a request to another machine in a format that it reads.
+    async fn call_peer(
         &self,
         address: SocketAddr,
         request: &CallsRequest,
     ) -> Result<CallsResponse, CallError> {
-        let send = |request| self.pool.call(address, request, ANSWER_TIME);
+        let send = |request| self.pool.call(address, request, CALL_TIMEOUT);
         let answered = self.peer_formats.ask(address, request, send).await?;
         Ok(answered.response)
     }
 }
 
-fn some_of(mut addresses: Vec<SocketAddr>) -> Vec<SocketAddr> {
+fn random_sample(mut addresses: Vec<SocketAddr>) -> Vec<SocketAddr> {
     addresses.shuffle(&mut rand::thread_rng());
-    addresses.truncate(GOSSIP_PEERS);
+    addresses.truncate(GOSSIP_FANOUT);
     addresses
 }
--- a/crates/pinerill-cluster/src/server/refusal.rs
+++ b/crates/pinerill-cluster/src/server/refusal.rs
@@ -1,4 +1,5 @@
-//! Refusals of internal requests.
+//! Constructors of refusals of internal requests. In each of them, `step` names the operation that
+//! was refused.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -6,45 +7,46 @@
 use pinerill_calls::message::MachineRecord;
 use pinerill_wire::message::{Refusal, RefusalCode};
 
-/// Another machine leads, or none.
+/// Returns a refusal by a machine that does not lead. It names the leader if one is known and is
+/// another machine.
 pub(super) fn not_leader(
     own: &MachineRecord,
     leader: Option<SocketAddr>,
     step: &'static str,
 ) -> Box<Refusal> {
-    let mut refusal = of(own, RefusalCode::NotLeader, step, "not the leader");
+    let mut refusal = new_refusal(own, RefusalCode::NotLeader, step, "not the leader");
     refusal.leader = leader.filter(|address| *address != own.address);
     refusal
 }
 
-/// Certainly not done.
+/// Returns a refusal of a request that was certainly not carried out.
 pub(super) fn unavailable(
     own: &MachineRecord,
     step: &'static str,
     error: impl Display,
 ) -> Box<Refusal> {
-    of(own, RefusalCode::Unavailable, step, error)
+    new_refusal(own, RefusalCode::Unavailable, step, error)
 }
 
-/// It may have been done.
+/// Returns a refusal of a request that may have been carried out.
 pub(super) fn unknown(
     own: &MachineRecord,
     step: &'static str,
     error: impl Display,
 ) -> Box<Refusal> {
-    of(own, RefusalCode::OutcomeUnknown, step, error)
+    new_refusal(own, RefusalCode::OutcomeUnknown, step, error)
 }
 
-/// The request can't be right.
+/// Returns a refusal of a request that is invalid or can't be decoded.
 pub(super) fn invalid(
     own: &MachineRecord,
     step: &'static str,
     error: impl Display,
 ) -> Box<Refusal> {
-    of(own, RefusalCode::Invalid, step, error)
+    new_refusal(own, RefusalCode::Invalid, step, error)
 }
 
-fn of(
+fn new_refusal(
     own: &MachineRecord,
     code: RefusalCode,
     step: &'static str,
--- a/crates/pinerill-cluster/src/server/run.rs
+++ b/crates/pinerill-cluster/src/server/run.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of a control machine, and stops them in a planned way.
+//! Starts the tasks and listeners of a control machine, and shuts them down in order.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -33,54 +33,57 @@
 use crate::machine::ClusterMachine;
 use crate::turns::RequestLimiter;
 
-/// The one replicated group.
+/// Identifier of the only replicated group.
 const GROUP: GroupId = GroupId(0);
-/// Longest wait for answers in flight at a planned stop.
-const ANSWER_LIMIT: Duration = Duration::from_secs(2);
-/// Pause before the process ends after its store failed.
-const FAILURE_PAUSE: Duration = Duration::from_millis(500);
-/// Time between heartbeats of the leader.
-const HEARTBEAT: Duration = Duration::from_millis(80);
-/// Shortest election timeout: a few heartbeats, so that a lost leader costs
-/// submissions less than the callers' patience.
+/// Maximum wait for requests in flight during a planned shutdown.
+const IN_FLIGHT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay before the process exits after a failure of its store.
+const STORE_FAILURE_DELAY: Duration = Duration::from_millis(500);
+/// Interval between the leader's heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(80);
+/// Minimum election timeout. It spans a few heartbeats, so that the loss of a leader delays
+/// submissions by less than the timeouts of their callers.
 const ELECTION_MIN: Duration = Duration::from_millis(300);
-/// Longest election timeout.
+/// Maximum election timeout.
 const ELECTION_MAX: Duration = Duration::from_millis(600);
-/// Applied bytes after which a snapshot is saved.
-const SNAPSHOT_BYTES: u64 = 4 << 20;
-/// The same on a small disk.
-const LEAST_SNAPSHOT_BYTES: u64 = 512 << 10;
-/// Part of the disk that log entries of one snapshot may take.
-const LOG_PART: u64 = 48;
-/// Part of the disk that log entries behind a snapshot may take, kept for followers
-/// that lag: a learner of a 47 MB disk installs 25 MB in 3 s, in which 1 to 2 MB come.
-const LOG_MARGIN_PART: u64 = 16;
-/// Most bytes of these entries, which are in memory too.
-const MOST_LOG_MARGIN_BYTES: u64 = 8 << 20;
-/// Part of the disk that log entries may take while a snapshot is sent, and that
-/// entries without a majority may take.
-const TRANSFER_LOG_PART: u64 = 12;
-/// Most bytes of these entries.
-const MOST_TRANSFER_LOG_BYTES: u64 = 32 << 20;
-/// Nodes that are woken for items of one change at most: each takes some.
-const MOST_WOKEN: usize = 256;
-/// Pause between two log lines on bytes exchanged.
-const TRAFFIC_PAUSE: Duration = Duration::from_secs(10);
-/// How long a read waits to be confirmed.
+/// Upper bound on the bytes of applied log entries after which a snapshot is saved.
+const MAX_SNAPSHOT_LOG_BYTES: u64 = 4 << 20;
+/// Lower bound on the bytes of applied log entries after which a snapshot is saved, for small
+/// disks.
+const MIN_SNAPSHOT_LOG_BYTES: u64 = 512 << 10;
+/// Fraction of the disk, as a divisor, that the log entries between two snapshots may occupy.
+const SNAPSHOT_LOG_DISK_DIVISOR: u64 = 48;
+/// Fraction of the disk, as a divisor, that log entries older than the snapshot may occupy. They
+/// are kept for followers that lag: a learner with a disk of 47 MB installs 25 MB in 3 s, during
+/// which 1 to 2 MB of new entries arrive.
+const LOG_MARGIN_DISK_DIVISOR: u64 = 16;
+/// Upper bound on the bytes of these entries, which are also held in memory.
+const MAX_LOG_MARGIN_BYTES: u64 = 8 << 20;
+/// Fraction of the disk, as a divisor, that log entries may occupy while a snapshot is being sent,
+/// and that uncommitted entries may occupy.
+const TRANSFER_LOG_DISK_DIVISOR: u64 = 12;
+/// Upper bound on the bytes of log entries in each of these two cases.
+const MAX_TRANSFER_LOG_BYTES: u64 = 32 << 20;
+/// Maximum number of nodes that are woken for the new items of one change. Each of them takes
+/// several items.
+const MAX_WOKEN_NODES: usize = 256;
+/// Interval between two log lines about network traffic.
+const TRAFFIC_LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// Maximum time for a majority to confirm a read.
 const READ_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How operators and the platform list are spoken to.
+/// Protocols of operators and of the platform list of workers.
 pub struct ControlProtocols {
-    /// Operators.
+    /// Parses requests of operators and renders the answers to them.
     pub operators: Arc<dyn OperatorProtocol>,
-    /// The platform list.
+    /// Builds requests to the platform list of workers and parses its pages.
     pub worker_list: Arc<dyn WorkerListProtocol>,
 }
 
 /// Runs a control machine until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// When the settings can't be used or it can't start.
+/// Returns an error if the settings are invalid, the machine can't start, or its store fails.
 pub async fn run(file: SettingsFile, protocols: ControlProtocols) -> anyhow::Result<()> {
     let settings = ForwardingSettings::read(file.text())?;
     let cluster = settings.cluster;
@@ -91,7 +94,7 @@
     let stopping = signals.planned.clone();
     let listener = TcpListener::bind(settings.listen)
         .await
-        .with_context(|| format!("listen at {}", settings.listen))?;
+        .with_context(|| format!("listen on {}", settings.listen))?;
     let closed = CancellationToken::new();
     let built = build(settings, &cluster.name, key, protocols, &closed, stopping);
     let (control, identity) = match built {
@@ -120,21 +123,21 @@
     );
     tokio::select! {
         () = signals.planned.cancelled() => {}
-        () = control.tell_changes() => {
-            // What a failed write left behind only a new start can tell; the
-            // pause keeps starts apart while the disk stays as it is.
+        () = control.notify_status_changes() => {
+            // After a failed write, only a restart can determine what was stored. The delay limits
+            // the rate of restarts while the disk keeps failing.
             log::error!(event = "group_ended", machine = control.record.name.as_str(); "");
-            sleep(FAILURE_PAUSE).await;
-            anyhow::bail!("the replicated group ended: its store failed");
+            sleep(STORE_FAILURE_DELAY).await;
+            anyhow::bail!("the replicated group stopped because its store failed");
         }
     }
     log::info!(event = "stopping", machine = control.record.name.as_str(); "");
-    control.tell_news();
-    control.tell_watch_news();
+    control.notify_state_change();
+    control.notify_watchers();
     control.host.hand_over().await;
     operators.stop().await;
     closing.cancel();
-    if timeout(ANSWER_LIMIT, server).await.is_err() {
+    if timeout(IN_FLIGHT_TIMEOUT, server).await.is_err() {
         log::warn!(event = "answers_cut"; "");
     }
     control.host.halt().await;
@@ -145,8 +148,9 @@
     Ok(())
 }
 
-/// Identity of the data folder that founds the cluster at an address. All
-/// founding machines know each other's by it, without having met.
+/// Returns the identity of the data folder that founds the cluster at an address. It depends on
+/// the address alone, so that founding machines know each other's identities without
+/// communication.
 fn founding_replica(address: SocketAddr) -> ReplicaId {
     let mut hasher = DefaultHasher::new();
     address.hash(&mut hasher);
@@ -163,13 +167,13 @@
 ) -> anyhow::Result<(Arc<Control>, Identity)> {
     let seeds = settings.seed_addresses();
     let address = settings.advertised_address();
-    let founds = settings.found && seeds.contains(&address);
-    let newcomer = match founds {
+    let is_founder = settings.found && seeds.contains(&address);
+    let new_replica = match is_founder {
         true => founding_replica(address),
         false => ReplicaId(rand::random()),
     };
     let folder = &settings.data_folder;
-    let store = Store::open_as(folder, newcomer)
+    let store = Store::open_as(folder, new_replica)
         .with_context(|| format!("open data folder {}", folder.display()))?;
     let store: Arc<dyn GroupStore> = Arc::new(store);
     let replica = store.identity().replica;
@@ -185,7 +189,7 @@
     let pool = PeerPool::start(&others, &identity, closed);
     let transport = Arc::new(PeerTransport::new(pool.clone()));
     let host = GroupHost::start(store, transport, host_settings(settings.disk_mb));
-    let voters: Vec<ReplicaId> = match founds {
+    let voters: Vec<ReplicaId> = match is_founder {
         true => seeds.iter().copied().map(founding_replica).collect(),
         false => Vec::new(),
     };
@@ -203,40 +207,41 @@
         host,
         group,
         leadership: Mutex::new(None),
-        named_leader: Mutex::default(),
-        learnt: Mutex::new(others.iter().copied().collect()),
+        leader_hint: Mutex::default(),
+        learned_addresses: Mutex::new(others.iter().copied().collect()),
         seeds: Mutex::new(others),
-        told_digests: Mutex::default(),
+        peer_digests: Mutex::default(),
         peer_formats: PeerFormats::default(),
-        kept_out: Mutex::default(),
+        excluded_replicas: Mutex::default(),
         older_digests: Mutex::default(),
-        unread_requests: AtomicU64::new(0),
-        table_read: Mutex::default(),
+        unreadable_requests: AtomicU64::new(0),
+        parsed_table: Mutex::default(),
         operators: protocols.operators,
         worker_list: protocols.worker_list,
         traffic: Traffic::default(),
-        news: watch::Sender::new(0),
-        watch_news: watch::Sender::new(0),
-        turns: RequestLimiter::default(),
-        items_wait: Notify::new(),
+        state_changes: watch::Sender::new(0),
+        watch_changes: watch::Sender::new(0),
+        request_limiter: RequestLimiter::default(),
+        item_available: Notify::new(),
         started: BootTime::now(),
         stopping,
     });
     Ok((control, identity))
 }
 
-/// Log entries are on the disk beside the table that they were applied to, so
-/// a small disk keeps fewer of them.
+/// Returns the settings of the group's host. Log entries share the disk with the table that they
+/// were applied to, so a smaller disk keeps fewer of them.
 fn host_settings(disk_mb: u64) -> HostSettings {
     let disk_bytes = match disk_mb {
         0 => u64::MAX,
         megabytes => megabytes << 20,
     };
-    let snapshot_bytes = (disk_bytes / LOG_PART).clamp(LEAST_SNAPSHOT_BYTES, SNAPSHOT_BYTES);
-    let margin_bytes = (disk_bytes / LOG_MARGIN_PART).min(MOST_LOG_MARGIN_BYTES);
-    let transfer_bytes = (disk_bytes / TRANSFER_LOG_PART).min(MOST_TRANSFER_LOG_BYTES);
+    let snapshot_bytes = (disk_bytes / SNAPSHOT_LOG_DISK_DIVISOR)
+        .clamp(MIN_SNAPSHOT_LOG_BYTES, MAX_SNAPSHOT_LOG_BYTES);
+    let margin_bytes = (disk_bytes / LOG_MARGIN_DISK_DIVISOR).min(MAX_LOG_MARGIN_BYTES);
+    let transfer_bytes = (disk_bytes / TRANSFER_LOG_DISK_DIVISOR).min(MAX_TRANSFER_LOG_BYTES);
     HostSettings {
-        heartbeat: HEARTBEAT,
+        heartbeat: HEARTBEAT_INTERVAL,
         election_min: ELECTION_MIN,
         election_max: ELECTION_MAX,
         snapshot_bytes,
@@ -248,9 +253,9 @@
     }
 }
 
-/// What nodes were last woken for.
+/// State for which nodes were last woken.
 #[derive(Debug, Default)]
-struct ToldState {
+struct NotifiedState {
     table_version: Option<u64>,
     evacuations: u64,
     waiting_items: usize,
@@ -261,33 +266,37 @@
 fn start_tasks(control: &Arc<Control>, file: SettingsFile) -> Vec<Task> {
     let spawn =
         |work: futures::future::BoxFuture<'static, ()>| AbortOnDropHandle::new(tokio::spawn(work));
-    let own = |control: &Arc<Control>| control.clone();
+    let clone_of = |control: &Arc<Control>| control.clone();
     let (joining, members, upkeep, workers, reloading, traffic) = (
-        own(control),
-        own(control),
-        own(control),
-        own(control),
-        own(control),
-        own(control),
+        clone_of(control),
+        clone_of(control),
+        clone_of(control),
+        clone_of(control),
+        clone_of(control),
+        clone_of(control),
     );
     vec![
-        spawn(Box::pin(async move { joining.keep_joined().await })),
-        spawn(Box::pin(async move { members.keep_members().await })),
-        spawn(Box::pin(async move { upkeep.keep_up().await })),
-        spawn(Box::pin(async move { workers.follow_workers().await })),
+        spawn(Box::pin(
+            async move { joining.announce_periodically().await },
+        )),
+        spawn(Box::pin(
+            async move { members.run_membership_changes().await },
+        )),
+        spawn(Box::pin(async move { upkeep.run_upkeep().await })),
+        spawn(Box::pin(async move { workers.poll_worker_list().await })),
         spawn(Box::pin(async move { traffic.log_traffic().await })),
         spawn(Box::pin(log_suspensions())),
         spawn(Box::pin(
-            async move { reloading.follow_settings(file).await },
+            async move { reloading.reload_settings(file).await },
         )),
     ]
 }
 
 impl Control {
-    /// Logs which bytes it exchanged with whom.
+    /// Logs the traffic counters every [`TRAFFIC_LOG_INTERVAL`]. Never returns.
     async fn log_traffic(&self) {
         loop {
-            sleep(TRAFFIC_PAUSE).await;
+            sleep(TRAFFIC_LOG_INTERVAL).await;
             let counters = self.pool.counters();
             let sent = counters.bytes_out.load(Ordering::Relaxed);
             let received = counters.bytes_in.load(Ordering::Relaxed);
@@ -298,16 +307,16 @@
         }
     }
 
-    /// Takes over other seeds of a settings file that changes. What else
-    /// differs counts from the next start on.
-    async fn follow_settings(&self, mut file: SettingsFile) {
+    /// Applies changes to the seeds in the settings file. Other changed settings take effect at
+    /// the next start.
+    async fn reload_settings(&self, mut file: SettingsFile) {
         loop {
             match ForwardingSettings::read(file.changed().await) {
                 Ok(settings) => {
                     let seeds = settings.control.map(|control| control.seed_addresses());
                     let seeds = seeds.unwrap_or_default();
                     log::info!(event = "settings_reloaded", seeds:? = seeds; "");
-                    self.learn(&seeds);
+                    self.learn_addresses(&seeds);
                     *self.seeds.lock() = seeds;
                 }
                 Err(error) => log::warn!(event = "settings_refused", error:%; ""),
@@ -315,31 +324,31 @@
         }
     }
 
-    /// Wakes those nodes alone that what was applied concerns: items end many times a second,
-    /// and all nodes have a watch and a request for items here.
-    fn tell_applied(&self, told: &ToldState) -> ToldState {
-        let now = self.group.with_machine(|machine| ToldState {
+    /// Wakes the nodes that an applied change concerns, and only those. Items finish many times
+    /// per second, and every node keeps a watch and a lease request open here.
+    fn notify_applied(&self, notified: &NotifiedState) -> NotifiedState {
+        let now = self.group.with_machine(|machine| NotifiedState {
             table_version: machine.table_version(),
             evacuations: machine.evacuations().revision(),
             waiting_items: machine.jobs().queue().len(),
         });
-        if (now.table_version, now.evacuations) != (told.table_version, told.evacuations) {
-            self.tell_watch_news();
+        if (now.table_version, now.evacuations) != (notified.table_version, notified.evacuations) {
+            self.notify_watchers();
         }
-        let more = now.waiting_items.saturating_sub(told.waiting_items);
-        for _ in 0..more.min(MOST_WOKEN) {
-            self.items_wait.notify_one();
+        let added_items = now.waiting_items.saturating_sub(notified.waiting_items);
+        for _ in 0..added_items.min(MAX_WOKEN_NODES) {
+            self.item_available.notify_one();
         }
         now
     }
 
-    /// Wakes long polls when something was applied or leadership changed, and
-    /// logs the latter. Ends with the group, which ends when its store fails.
-    async fn tell_changes(&self) {
+    /// Wakes long polls whenever a command was applied or the leadership changed, and logs changes
+    /// of the leadership. Returns once the group has stopped, which happens when its store fails.
+    async fn notify_status_changes(&self) {
         let mut status = self.group.watch_status();
         let mut last = None;
         let mut applied = 0;
-        let mut told = ToldState::default();
+        let mut notified = NotifiedState::default();
         while status.changed().await.is_ok() {
             let now = status.borrow_and_update().clone();
             let role = (now.term, now.leader, now.role);
@@ -347,13 +356,13 @@
                 last = Some(role);
                 let leader = now.leader.map(|one| one.0);
                 log::info!(event = "role_changed", term = now.term, leader:?, role:? = now.role; "");
-                self.tell_news();
-                self.tell_watch_news();
+                self.notify_state_change();
+                self.notify_watchers();
             }
             if applied != now.applied {
                 applied = now.applied;
-                self.tell_news();
-                told = self.tell_applied(&told);
+                self.notify_state_change();
+                notified = self.notify_applied(&notified);
             }
         }
     }
--- a/crates/pinerill-cluster/src/server/service.rs
+++ b/crates/pinerill-cluster/src/server/service.rs
@@ -1,4 +1,4 @@
-//! Hands each internal request to its part.
+//! Decodes internal requests of nodes and control machines and dispatches them to their handlers.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use super::control::Control;
 use super::refusal;
 
-/// Answers nodes and other control machines.
+/// Service that answers nodes and other control machines.
 pub(super) struct ControlService {
     pub(super) control: Arc<Control>,
 }
@@ -28,8 +28,8 @@
         let (format, request) = match decode_request(&bytes) {
             Ok(read) => read,
             Err(error) => {
-                // A peer of a newer build takes this refusal for "ask in an older format".
-                self.control.count_unread(peer, &error);
+                // A peer of a newer build reacts to this refusal by retrying in an older format.
+                self.control.record_unreadable_request(peer, &error);
                 let refused = refusal::invalid(&self.control.record, "read request", error);
                 return Response::Refused(*refused);
             }
@@ -38,9 +38,12 @@
         let reach = Reach::between(&self.control.record.zone, &peer.zone);
         let traffic = &self.control.traffic;
         traffic.received(purpose, reach, bytes.len());
-        let answered = self.control.answer_as(format, &peer.zone, request).await;
-        let written = answered.and_then(|response| self.control.write(response, format));
-        match written {
+        let answered = self
+            .control
+            .answer_in_format(format, &peer.zone, request)
+            .await;
+        let encoded = answered.and_then(|response| self.control.encode_answer(response, format));
+        match encoded {
             Ok(bytes) => {
                 traffic.sent(purpose, reach, 1, bytes.len());
                 Response::Calls(bytes)
@@ -51,7 +54,7 @@
 
     fn notified(&self, peer: &Peer, notification: Notification) {
         let Notification::Replica(envelopes) = notification;
-        if peer.role != Role::Control || self.control.is_kept_out(peer.replica) {
+        if peer.role != Role::Control || self.control.is_excluded(peer.replica) {
             return;
         }
         for envelope in envelopes {
@@ -61,23 +64,27 @@
 }
 
 impl Control {
-    fn write(&self, response: CallsResponse, format: Format) -> Result<Vec<u8>, Box<Refusal>> {
-        let written = encode_response(response, format);
-        written.map_err(|error| refusal::unknown(&self.record, "write answer", error))
+    fn encode_answer(
+        &self,
+        response: CallsResponse,
+        format: Format,
+    ) -> Result<Vec<u8>, Box<Refusal>> {
+        let encoded = encode_response(response, format);
+        encoded.map_err(|error| refusal::unknown(&self.record, "write answer", error))
     }
 
-    fn count_unread(&self, peer: &Peer, error: &MessageError) {
-        self.unread_requests.fetch_add(1, Ordering::Relaxed);
+    fn record_unreadable_request(&self, peer: &Peer, error: &MessageError) {
+        self.unreadable_requests.fetch_add(1, Ordering::Relaxed);
         log::warn!(
             event = "request_unread", peer = peer.name.as_str(), role:? = peer.role, error:%; ""
         );
     }
 
-    /// Carries out one internal request of the present form.
+    /// Handles an internal request in the newest format.
     ///
     /// # Errors
-    /// A refusal, with the leader where another machine can answer.
-    pub(super) async fn answer(
+    /// Returns a refusal; it names the leader if another machine can answer.
+    pub(super) async fn handle_request(
         &self,
         request: CallsRequest,
     ) -> Result<CallsResponse, Box<Refusal>> {
@@ -89,8 +96,8 @@
             CallsRequest::EndJob(job) => self.end_job(job).await,
             CallsRequest::LeaseItems(lease) => self.lease_items(lease).await,
             CallsRequest::ReportItems(reports) => self.report_items(reports).await,
-            CallsRequest::Borrow(borrow) => self.lend(borrow).await,
-            CallsRequest::Join(join) => self.joined(join, Format::NEWEST).await,
+            CallsRequest::Borrow(borrow) => self.lend_tokens(borrow).await,
+            CallsRequest::Join(join) => self.handle_join(join, Format::NEWEST).await,
             CallsRequest::PutTable(put) => self.put_table(*put).await,
             CallsRequest::ReadDocument => self.read_document().await,
             CallsRequest::StartRetirement(name) => self.start_retirement(&name).await,
--- a/crates/pinerill-cluster/src/server/slow_start.rs
+++ b/crates/pinerill-cluster/src/server/slow_start.rs
@@ -1,8 +1,8 @@
-//! Lends nodes permits for requests to workers that are still cold.
+//! Lends nodes the permits that requests to cold workers need.
 //!
-//! A cold worker bears few requests a second from all nodes together. Each of them needs a
-//! permit from here, so that the bound follows from what was lent, whatever nodes know of
-//! each other. A node that reaches no leader sends nothing there.
+//! A cold worker can serve only a few requests per second from all nodes together. Each of these
+//! requests needs a permit from the leader, so the limit holds whatever the nodes know about each
+//! other. A node that can't reach the leader sends no requests to cold workers.
 
 use pinerill_calls::message::{CallsResponse, ColdWorker, SlowStartRequest};
 use pinerill_quota::limit::RequestLimit;
@@ -12,7 +12,8 @@
 use super::control::Control;
 
 impl Control {
-    /// Lends at most one permit for each worker that the node names.
+    /// Lends at most one permit for each worker that the node names. The answer lists the workers
+    /// for which a permit was granted.
     pub(super) async fn lend_slow_starts(
         &self,
         request: SlowStartRequest,
@@ -36,7 +37,7 @@
             let asked = request.workers.into_iter().zip(limits);
             asked
                 .filter_map(|(worker, limit)| {
-                    let asks = [one_permit(&worker)];
+                    let asks = [permit_request(&worker)];
                     let lender = &mut leadership.slow_starts;
                     let loans = lender.lend(now_ms, &request.node, &asks, |_| limit);
                     let is_lent = loans.first().is_some_and(|loan| loan.urgent > 0);
@@ -48,8 +49,8 @@
     }
 }
 
-/// Permits are lent for use at once, none to be held.
-fn one_permit(worker: &ColdWorker) -> TenantAsk {
+/// Returns the request for one permit. A permit must be used at once; none can be held for later.
+fn permit_request(worker: &ColdWorker) -> TenantAsk {
     TenantAsk {
         tenant: worker.id.to_string(),
         held: 0,
--- a/crates/pinerill-cluster/src/server/upgrade.rs
+++ b/crates/pinerill-cluster/src/server/upgrade.rs
@@ -1,10 +1,11 @@
-//! Formats of commands while machines of several builds stand side by side.
+//! Selects the format of commands while machines of different builds run side by side.
 //!
-//! Each machine tells the leader by the format of its requests to join which one it reads. The
-//! leader writes commands in the format in force, which all machines that are known read, and a
-//! newer one only when all of them have told that they read it: for a command that needs it, or
-//! once they have told so for [`RISE_AFTER_MS`]. Until then each machine may go back to the
-//! build that it had; a machine that comes back with it later is kept out.
+//! Each machine reports the newest format that it reads to the leader through the format of its
+//! join requests. The leader writes commands in the format in force, which every known machine
+//! reads. It switches to a newer format only once every machine has reported that it reads it: at
+//! once for a command that needs the format, otherwise after [`UPGRADE_DELAY_MS`]. Until the
+//! switch, each machine can be rolled back to its previous build; a machine that is rolled back
+//! later is excluded.
 
 use std::collections::BTreeMap;
 
@@ -15,59 +16,63 @@
 use super::refusal;
 use crate::machine::{write_command, Command, StampedCommand};
 
-/// Time for which all machines must have read the newest format before it is put in force
-/// without need, milliseconds: time for an operator to go back.
-const RISE_AFTER_MS: u64 = 600_000;
+/// Time for which all machines must have reported the newest format before it is put in force
+/// although no command needs it, milliseconds. It leaves operators time to roll back.
+const UPGRADE_DELAY_MS: u64 = 600_000;
 
-/// Formats that control machines have told in one leadership.
+/// Formats that control machines have reported during one leadership.
 #[derive(Debug, Default)]
 pub(super) struct MachineFormats {
-    /// The newest that each one reads, by data folder.
-    told: BTreeMap<u64, Format>,
-    /// Since when all that are known have told the newest one.
+    /// Newest format that each machine reads, by identity of its data folder.
+    reported: BTreeMap<u64, Format>,
+    /// Time since which all known machines have reported the newest format; `None` while one has
+    /// not.
     complete_since_ms: Option<u64>,
 }
 
 impl MachineFormats {
-    /// Notes what a machine reads. Returns true if it is news.
-    pub(super) fn hear(&mut self, replica: u64, format: Format) -> bool {
-        self.told.insert(replica, format) != Some(format)
+    /// Records the format that a machine reads. Returns whether it differs from the last one
+    /// recorded.
+    pub(super) fn record(&mut self, replica: u64, format: Format) -> bool {
+        self.reported.insert(replica, format) != Some(format)
     }
 
-    /// Machines that have not told that they read the newest format.
+    /// Returns the known machines that have not reported the newest format.
     pub(super) fn lagging<'machines>(
         &self,
         known: impl IntoIterator<Item = &'machines u64>,
     ) -> Vec<u64> {
-        let reads = |replica: &u64| self.told.get(replica) == Some(&Format::NEWEST);
+        let reads = |replica: &u64| self.reported.get(replica) == Some(&Format::NEWEST);
         let known = known.into_iter();
         known.filter(|replica| !reads(replica)).copied().collect()
     }
 
-    /// Whether all machines have read the newest format for long, given those that lag now.
-    fn is_ripe(&mut self, now_ms: u64, lagging: &[u64]) -> bool {
+    /// Returns whether all machines have reported the newest format for [`UPGRADE_DELAY_MS`].
+    /// `lagging` lists those that have not reported it now.
+    fn is_upgrade_due(&mut self, now_ms: u64, lagging: &[u64]) -> bool {
         if !lagging.is_empty() {
             self.complete_since_ms = None;
             return false;
         }
         let since_ms = *self.complete_since_ms.get_or_insert(now_ms);
-        now_ms >= since_ms + RISE_AFTER_MS
+        now_ms >= since_ms + UPGRADE_DELAY_MS
     }
 }
 
 impl Control {
-    /// Writes a command in a format that all known machines read.
+    /// Encodes a command in a format that all known machines read.
     ///
     /// # Errors
-    /// A refusal that names the machines that hold the command back.
-    pub(super) fn encoded(
+    /// Returns a refusal if the command needs a newer format; it names the machines that don't
+    /// read that format.
+    pub(super) fn encode_command(
         &self,
         step: &'static str,
         stamped: StampedCommand,
     ) -> Result<Vec<u8>, Box<Refusal>> {
         let in_force = self.group.with_machine(|machine| machine.format());
         if in_force == Format::NEWEST {
-            return self.written(step, stamped, in_force);
+            return self.encode_in_format(step, stamped, in_force);
         }
         let now_ms = self.now_ms();
         let known = self
@@ -76,7 +81,7 @@
         let (lagging, ripe) = self.with_leadership(step, |leadership| {
             let formats = &mut leadership.formats;
             let lagging = formats.lagging(known.keys());
-            let ripe = formats.is_ripe(now_ms, &lagging);
+            let ripe = formats.is_upgrade_due(now_ms, &lagging);
             (lagging, ripe)
         })?;
         let needed = matches!(
@@ -102,10 +107,10 @@
         if format != in_force {
             log::info!(event = "format_rises", from:% = in_force, to:% = format, needed, ripe; "");
         }
-        self.written(step, stamped, format)
+        self.encode_in_format(step, stamped, format)
     }
 
-    fn written(
+    fn encode_in_format(
         &self,
         step: &'static str,
         stamped: StampedCommand,
@@ -115,31 +120,32 @@
             .map_err(|error| refusal::unavailable(&self.record, step, error))
     }
 
-    /// Whether a machine that reads this format may take part. One that may not is not heard
-    /// in the group either: it might skip what it can't read and answer from what is left.
+    /// Admits a machine that reads this format, or excludes it. Messages of an excluded machine
+    /// are also dropped in the replicated group: it might skip commands that it can't read and
+    /// answer from incomplete state.
     ///
     /// # Errors
-    /// A refusal that says which format is in force.
-    pub(super) fn may_take_part(
+    /// Returns a refusal that names the format in force if the machine does not read it.
+    pub(super) fn admit_machine(
         &self,
         machine: &MachineRecord,
         reads: Format,
     ) -> Result<(), Box<Refusal>> {
         let in_force = self.group.with_machine(|state| state.format());
-        let mut kept_out = self.kept_out.lock();
+        let mut excluded_replicas = self.excluded_replicas.lock();
         if reads >= in_force {
-            kept_out.remove(&machine.replica);
+            excluded_replicas.remove(&machine.replica);
             return Ok(());
         }
-        kept_out.insert(machine.replica);
+        excluded_replicas.insert(machine.replica);
         let machine = machine.name.as_str();
         log::warn!(event = "machine_kept_out", machine, reads:%, in_force:%; "");
         let reason = format!("format {in_force} is in force, the asker's build reads {reads}");
         Err(refusal::unavailable(&self.record, "join", reason))
     }
 
-    /// Whether a machine may not take part.
-    pub(super) fn is_kept_out(&self, replica: u64) -> bool {
-        self.kept_out.lock().contains(&replica)
+    /// Returns whether a machine is excluded, by identity of its data folder.
+    pub(super) fn is_excluded(&self, replica: u64) -> bool {
+        self.excluded_replicas.lock().contains(&replica)
     }
 }
--- a/crates/pinerill-cluster/src/server/watch.rs
+++ b/crates/pinerill-cluster/src/server/watch.rs
@@ -1,4 +1,5 @@
-//! The nodes' long polls: route table, directory, control machines.
+//! Answers the long polls by which nodes follow the route table, the directory of workers, the
+//! evacuations, and the addresses of other processes.
 
 use std::time::Duration;
 
@@ -16,109 +17,114 @@
 use super::control::Control;
 use crate::cells::{Neighbours, WatchingNode};
 
-/// Longest time that an answer is held.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+/// Maximum time for which a watch is held open.
+const MAX_WAIT: Duration = Duration::from_secs(2);
 
-/// What the leadership knows for one node.
-struct Told {
+/// Part of the leader's soft state that concerns one node.
+struct NodeView {
     cell: CellId,
     directory: Option<Packed<DirectoryUpdate>>,
     directory_age_ms: Option<u64>,
     neighbours: Neighbours,
     nodes: u32,
     cell_nodes: u32,
-    /// Control machines, if they were looked at a moment ago.
+    /// Control machines; `None` if the cached list has expired.
     controls: Option<Vec<ControlAddress>>,
 }
 
 impl Control {
-    /// Answers once there is something newer, or when the time is up. Only the
-    /// leader answers, so that nobody follows a machine that is cut off for
-    /// longer than it takes to be deposed.
+    /// Answers once the route table, the directory or the evacuations are newer than what the node
+    /// has, or at the deadline. Only the leader answers, so a node follows a machine that is cut
+    /// off no longer than it takes to depose it.
     pub(super) async fn watch(&self, request: WatchRequest) -> Result<CallsResponse, Box<Refusal>> {
         let arrived_ms = self.now_ms();
-        let wait = Duration::from_millis(request.wait_ms).min(LONGEST_WAIT);
+        let wait = Duration::from_millis(request.wait_ms).min(MAX_WAIT);
         let deadline = BootTime::now() + wait;
-        let mut news = self.watch_news.subscribe();
+        let mut changes = self.watch_changes.subscribe();
         loop {
-            let response = self.news_in_turn(&request, arrived_ms).await?;
-            let has_news = response.table.is_some()
+            let response = self
+                .build_watch_response_with_permit(&request, arrived_ms)
+                .await?;
+            let has_changes = response.table.is_some()
                 || response.directory.is_some()
                 || response.evacuations.is_some();
-            if has_news || self.stopping.is_cancelled() {
+            if has_changes || self.stopping.is_cancelled() {
                 return Ok(CallsResponse::Watch(Box::new(response)));
             }
-            if timeout_at(deadline, news.changed()).await.is_err() {
-                let response = self.news_in_turn(&request, arrived_ms).await?;
+            if timeout_at(deadline, changes.changed()).await.is_err() {
+                let response = self
+                    .build_watch_response_with_permit(&request, arrived_ms)
+                    .await?;
                 return Ok(CallsResponse::Watch(Box::new(response)));
             }
         }
     }
 
-    async fn news_in_turn(
+    async fn build_watch_response_with_permit(
         &self,
         request: &WatchRequest,
         arrived_ms: u64,
     ) -> Result<WatchResponse, Box<Refusal>> {
-        let _turn = self.turns.acquire().await;
-        self.news_for(request, arrived_ms)
+        let _turn = self.request_limiter.acquire().await;
+        self.build_watch_response(request, arrived_ms)
     }
 
-    fn news_for(
+    fn build_watch_response(
         &self,
         request: &WatchRequest,
         arrived_ms: u64,
     ) -> Result<WatchResponse, Box<Refusal>> {
         let now_ms = self.now_ms();
-        let asker = WatchingNode {
+        let node = WatchingNode {
             name: &request.node,
             zone: &request.zone,
             peer: request.peer,
             cell: request.cell,
         };
-        let told = self.with_leadership("watch", |leadership| {
+        let view = self.with_leadership("watch", |leadership| {
             let cells = &mut leadership.cells;
-            let cell = cells.record_node(now_ms, &asker);
-            Told {
+            let cell = cells.record_node(now_ms, &node);
+            NodeView {
                 cell,
                 directory: cells.update(cell, request.directory),
                 directory_age_ms: cells.directory(cell).age_ms(arrived_ms),
                 neighbours: cells.neighbours(cell, &request.zone, request.peer),
                 nodes: cells.node_count() as u32,
                 cell_nodes: cells.nodes_in_cell(cell) as u32,
-                controls: leadership.controls_told(now_ms),
+                controls: leadership.cached_controls(now_ms),
             }
         })?;
         let table = self.table_newer_than(request.table_version)?;
         let evacuations = self.group.with_machine(|machine| {
-            let present = machine.evacuations();
-            let is_news = request.evacuations < Some(present.revision());
-            is_news.then(|| present.clone())
+            let current = machine.evacuations();
+            let is_change = request.evacuations < Some(current.revision());
+            is_change.then(|| current.clone())
         });
-        let controls = match told.controls {
+        let controls = match view.controls {
             Some(controls) => controls,
-            None => self.look_at_controls(now_ms)?,
+            None => self.refresh_controls(now_ms)?,
         };
         let processes = Processes {
             controls,
-            peers: told.neighbours.peers,
-            relays: told.neighbours.relays,
-            bridges: told.neighbours.bridges,
+            peers: view.neighbours.peers,
+            relays: view.neighbours.relays,
+            bridges: view.neighbours.bridges,
         };
-        let known = request.processes == Some(Digest::of(&processes));
+        let is_known = request.processes == Some(Digest::of(&processes));
         Ok(WatchResponse {
             table,
-            directory: told.directory,
-            directory_age_ms: told.directory_age_ms,
-            nodes: told.nodes,
-            cell: told.cell,
-            cell_nodes: told.cell_nodes,
-            processes: (!known).then_some(processes),
+            directory: view.directory,
+            directory_age_ms: view.directory_age_ms,
+            nodes: view.nodes,
+            cell: view.cell,
+            cell_nodes: view.cell_nodes,
+            processes: (!is_known).then_some(processes),
             evacuations,
         })
     }
 
-    /// The route table, if it is newer than this version; packed once for all nodes.
+    /// Returns the route table if it is newer than `version`. The table is packed once and shared
+    /// by all nodes.
     fn table_newer_than(
         &self,
         version: Option<u64>,
@@ -129,22 +135,22 @@
             return Ok(None);
         };
         self.with_leadership("pack table", |leadership| {
-            let held = leadership.packed_table.take();
-            let held = held.filter(|(packed_version, _)| *packed_version == table.version);
+            let cached = leadership.packed_table.take();
+            let cached = cached.filter(|(packed_version, _)| *packed_version == table.version);
             let (_, packed) = leadership
                 .packed_table
-                .insert(held.unwrap_or_else(|| (table.version, Packed::new(&table))));
+                .insert(cached.unwrap_or_else(|| (table.version, Packed::new(&table))));
             Some(packed.clone())
         })
     }
 
-    /// Looks which control machines there are, for the watches that come within a moment.
-    fn look_at_controls(&self, now_ms: u64) -> Result<Vec<ControlAddress>, Box<Refusal>> {
+    /// Computes the list of control machines and caches it for watches that follow shortly after.
+    fn refresh_controls(&self, now_ms: u64) -> Result<Vec<ControlAddress>, Box<Refusal>> {
         let step = "look at control machines";
-        let silent = self.with_leadership(step, |leadership| leadership.lost_machines(now_ms))?;
-        let controls = self.known_controls(&silent);
+        let lost = self.with_leadership(step, |leadership| leadership.lost_machines(now_ms))?;
+        let controls = self.known_controls(&lost);
         self.with_leadership(step, |leadership| {
-            leadership.keep_controls(now_ms, controls.clone());
+            leadership.cache_controls(now_ms, controls.clone());
         })?;
         Ok(controls)
     }
--- a/crates/pinerill-cluster/src/server/workers.rs
+++ b/crates/pinerill-cluster/src/server/workers.rs
@@ -1,4 +1,4 @@
-//! Reads the platform list of workers while this machine leads.
+//! Polls the platform list of workers while this machine leads.
 
 use std::time::Duration;
 
@@ -10,23 +10,26 @@
 use super::control::Control;
 use crate::list_pace::{reading_interval, ReadingBounds};
 
-/// Longest wait for one page.
-const PAGE_TIME: Duration = Duration::from_millis(1_000);
-/// Tries of one page, and the pause between two. All processes share the list's rate, and a reading
-/// that began anew after each refused page would never end where it has more pages than are
-/// answered in a second: 3,000 workers have 60 pages, the users' list answers 50 calls a second.
-const PAGE_TRIES: usize = 5;
-const PAGE_PAUSE: Duration = Duration::from_millis(100);
-/// Pages of one reading; more can't be right.
-const PAGE_LIMIT: usize = 1_000;
-/// Pause after a machine looked and did not lead, unless there is news.
-const FOLLOWER_PAUSE: Duration = Duration::from_millis(100);
-/// Pause after a reading that failed.
-const FAILURE_PAUSE: Duration = Duration::from_millis(250);
+/// Timeout of the request for one page.
+const PAGE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Maximum number of attempts per page, and the delay between two of them. All processes share the
+/// call rate of the list. If a poll restarted after each refused page, it would never complete for
+/// a list with more pages than are answered in a second: 3,000 workers make 60 pages, and the
+/// users' list answers 50 calls per second.
+const MAX_PAGE_ATTEMPTS: usize = 5;
+const PAGE_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Maximum number of pages per poll. A longer list is treated as an error.
+const MAX_PAGES: usize = 1_000;
+/// Interval at which a machine that does not lead checks whether it leads now. A change of the
+/// replicated state or the leadership ends the wait early.
+const FOLLOWER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay after a failed poll.
+const FAILED_POLL_DELAY: Duration = Duration::from_millis(250);
 
 impl Control {
-    /// Reads the list again and again.
-    pub(super) async fn follow_workers(&self) {
+    /// Polls the list periodically while this machine leads. Returns only if the HTTP client can't
+    /// be built.
+    pub(super) async fn poll_worker_list(&self) {
         let client = match list_client() {
             Ok(client) => client,
             Err(error) => {
@@ -35,12 +38,13 @@
             }
         };
         let mut reachable = true;
-        let mut skipping = SkippingLog::default();
-        let mut news = self.news.subscribe();
+        let mut skipped_log = SkippedEntriesLog::default();
+        let mut changes = self.state_changes.subscribe();
         loop {
             if !self.leads() {
-                // A change of role is news: nodes that have just started know no worker.
-                let _ = timeout(FOLLOWER_PAUSE, news.changed()).await;
+                // The wait ends early on a change of role, so that a new leader polls at once:
+                // nodes that have just started know no worker.
+                let _ = timeout(FOLLOWER_CHECK_INTERVAL, changes.changed()).await;
                 continue;
             }
             let (started, began_ms) = (BootTime::now(), self.now_ms());
@@ -51,14 +55,14 @@
             }
             match read {
                 Ok(reading) => {
-                    skipping.note(&reading.skipped);
+                    skipped_log.log_if_changed(&reading.skipped);
                     let interval = self.reading_interval(reading.pages());
-                    self.take_workers(began_ms, reading.workers);
+                    self.apply_workers(began_ms, reading.workers);
                     sleep(interval.saturating_sub(started.elapsed())).await;
                 }
                 Err(error) => {
                     log::warn!(event = "worker_list_failed", error:% = format!("{error:#}"); "");
-                    sleep(FAILURE_PAUSE).await;
+                    sleep(FAILED_POLL_DELAY).await;
                 }
             }
         }
@@ -73,51 +77,53 @@
         reading_interval(pages, list.calls_per_s, bounds)
     }
 
-    fn take_workers(&self, began_ms: u64, workers: Vec<WorkerEntry>) {
+    fn apply_workers(&self, began_ms: u64, workers: Vec<WorkerEntry>) {
         let count = workers.len();
-        let changed = self.with_leadership("take workers", |leadership| {
+        let changed = self.with_leadership("apply workers", |leadership| {
             let cells = &mut leadership.cells;
-            let is_news = cells.update_workers(began_ms, workers);
-            if is_news {
+            let is_change = cells.update_workers(began_ms, workers);
+            if is_change {
                 let is_listed =
                     |name: &str| cells.contains_worker(&WorkerId::from(name.to_owned()));
                 leadership.slow_starts.keep_only(is_listed);
             }
-            is_news
+            is_change
         });
         if changed == Ok(true) {
             log::info!(event = "workers_changed", count; "");
-            self.tell_watch_news();
+            self.notify_watchers();
         }
     }
 
     async fn read_workers(&self, client: &reqwest::Client) -> anyhow::Result<ListReading> {
         let mut reading = ListReading::default();
         let mut token: Option<String> = None;
-        for _ in 0..PAGE_LIMIT {
-            let page = self.read_page_at_last(client, token.as_deref()).await?;
+        for _ in 0..MAX_PAGES {
+            let page = self
+                .read_page_with_retries(client, token.as_deref())
+                .await?;
             token = reading.add_page(page)?;
             if token.is_none() {
                 return Ok(reading);
             }
         }
-        bail!("more than {PAGE_LIMIT} pages")
+        bail!("the worker list has more than {MAX_PAGES} pages")
     }
 
-    /// Reads a page, some times if need be.
-    async fn read_page_at_last(
+    /// Reads a page with up to [`MAX_PAGE_ATTEMPTS`] attempts.
+    async fn read_page_with_retries(
         &self,
         client: &reqwest::Client,
         token: Option<&str>,
     ) -> anyhow::Result<WorkerPage> {
-        for _ in 1..PAGE_TRIES {
+        for _ in 1..MAX_PAGE_ATTEMPTS {
             match self.read_page(client, token).await {
                 Ok(page) => return Ok(page),
                 Err(error) => log::info!(
                     event = "worker_page_failed", error:% = format!("{error:#}"); ""
                 ),
             }
-            sleep(PAGE_PAUSE).await;
+            sleep(PAGE_RETRY_DELAY).await;
         }
         self.read_page(client, token).await
     }
@@ -129,29 +135,36 @@
     ) -> anyhow::Result<WorkerPage> {
         let path = self.worker_list.page_path(token);
         let url = format!("http://{}{path}", self.settings.worker_list.address);
-        let response = client.get(url).send().await.context("ask for a page")?;
+        let response = client
+            .get(url)
+            .send()
+            .await
+            .context("request a page of the worker list")?;
         let status = response.status();
         if !status.is_success() {
-            bail!("ask for a page: status {status}");
+            bail!("request a page of the worker list: status {status}");
         }
-        let body = response.bytes().await.context("read a page")?;
+        let body = response
+            .bytes()
+            .await
+            .context("read the body of a page of the worker list")?;
         Ok(self.worker_list.read_page(&body)?)
     }
 }
 
-/// Says of entries that can't be read when their number changes, so that a list that stays
-/// spoilt is told once.
+/// Logs the number of unreadable entries only when it changes, so that a list that stays malformed
+/// is logged once.
 #[derive(Default)]
-struct SkippingLog {
-    told: usize,
+struct SkippedEntriesLog {
+    logged_count: usize,
 }
 
-impl SkippingLog {
-    fn note(&mut self, skipped: &SkippedEntries) {
-        if skipped.count == self.told {
+impl SkippedEntriesLog {
+    fn log_if_changed(&mut self, skipped: &SkippedEntries) {
+        if skipped.count == self.logged_count {
             return;
         }
-        self.told = skipped.count;
+        self.logged_count = skipped.count;
         log::warn!(
             event = "worker_entries_skipped", count = skipped.count,
             first_reason:? = skipped.first_reason; ""
@@ -161,9 +174,9 @@
 
 fn list_client() -> anyhow::Result<reqwest::Client> {
     reqwest::Client::builder()
-        .timeout(PAGE_TIME)
-        .connect_timeout(PAGE_TIME)
+        .timeout(PAGE_TIMEOUT)
+        .connect_timeout(PAGE_TIMEOUT)
         .no_proxy()
         .build()
-        .context("make a client for the platform list")
+        .context("build the HTTP client for the worker list")
 }
--- a/crates/pinerill-cluster/src/server/zones.rs
+++ b/crates/pinerill-cluster/src/server/zones.rs
@@ -1,17 +1,19 @@
-//! Operators' orders about zones: workers of an evacuated zone get nothing new.
+//! Handles operators' requests to evacuate zones and to return them to service. Workers of an
+//! evacuated zone receive no new work.
 
 use pinerill_calls::message::{CallsRequest, CallsResponse};
 use pinerill_calls::protocol::OperatorAnswer;
 use pinerill_wire::message::Refusal;
 
 use super::control::Control;
-use super::operators::unavailable;
+use super::operators::operator_failure;
 use super::refusal;
 use crate::machine::{Applied, Command};
 
 impl Control {
-    /// Passes an order on to the leader, unless the fleet has no such zone.
-    pub(super) async fn operate_zone(
+    /// Forwards an evacuation or return to the leader. The answer is `NotFound` if the settings
+    /// list zones and this one is not among them.
+    pub(super) async fn operator_zone_order(
         &self,
         zone: String,
         order: impl FnOnce(String) -> CallsRequest,
@@ -21,23 +23,23 @@
             log::info!(event = "zone_unknown", zone = zone.as_str(); "");
             return OperatorAnswer::NotFound;
         }
-        match self.at_leader(order(zone)).await {
+        match self.forward_to_leader(order(zone)).await {
             Ok(CallsResponse::Done) => OperatorAnswer::ZoneOrderKept,
-            other => unavailable(other),
+            other => operator_failure(other),
         }
     }
 
     pub(super) async fn evacuate_zone(&self, zone: String) -> Result<CallsResponse, Box<Refusal>> {
         let command = Command::EvacuateZone(zone.clone());
-        self.keep_zone_order("evacuate zone", &zone, command).await
+        self.store_zone_order("evacuate zone", &zone, command).await
     }
 
     pub(super) async fn return_zone(&self, zone: String) -> Result<CallsResponse, Box<Refusal>> {
         let command = Command::ReturnZone(zone.clone());
-        self.keep_zone_order("return zone", &zone, command).await
+        self.store_zone_order("return zone", &zone, command).await
     }
 
-    async fn keep_zone_order(
+    async fn store_zone_order(
         &self,
         step: &'static str,
         zone: &str,
