--- a/crates/pinerill-cluster/src/server/control.rs
+++ b/crates/pinerill-cluster/src/server/control.rs
@@ -109,10 +109,10 @@
             .with_machine(|machine| Some(machine.machines().get(&replica.0)?.address))
     }
 
-    /// Returns the route table in force, parsed by this build from the accepted document. The
-    /// table stored with the document is used only if parsing fails, because it may have been
-    /// parsed by a build that supports fewer features. Returns `None` if no document was accepted
-    /// yet.
+    /// Returns the route table in force, parsed by this build from the accepted document: the
+    /// table stored with it may have been parsed by a build that supports fewer features. Falls
+    /// back to the stored table if the document can't be parsed or yields another version. Returns
+    /// `None` if no document was accepted yet.
     pub(super) fn table_in_force(&self) -> Option<Arc<RouteTable>> {
         let mut cached = self.parsed_table.lock();
         let current = self.group.with_machine(|machine| {
--- a/crates/pinerill-cluster/src/server/older_builds.rs
+++ b/crates/pinerill-cluster/src/server/older_builds.rs
@@ -18,8 +18,8 @@
 /// each format, and nodes name the digest of the current directory or of one of the few before it.
 const MAX_OLDER_DIGESTS: usize = 32;
 
-/// Revision that a watch names so that its response contains no evacuations: older builds can't
-/// read them.
+/// Evacuation revision that is put into the watches of older builds, which don't support
+/// evacuations. No revision is newer, so the response contains none.
 const MAX_EVACUATION_REVISION: u64 = u64::MAX;
 
 /// Maps digests of directories in older formats to those in the current format.
--- a/crates/pinerill-cluster/src/server/peers.rs
+++ b/crates/pinerill-cluster/src/server/peers.rs
@@ -54,9 +54,9 @@
         known
     }
 
-    /// Returns the control machines that nodes may connect to: all members except those in `lost`,
-    /// then other recorded machines, up to [`MAX_LISTED_CONTROLS`]. Before any machine is
-    /// recorded, returns all known addresses.
+    /// Returns the control machines that nodes may connect to: the recorded ones except those in
+    /// `lost`, members first, up to [`MAX_LISTED_CONTROLS`] or the number of members, whichever is
+    /// larger. Returns all known addresses if no such machine is recorded.
     pub(super) fn known_controls(&self, lost: &[u64]) -> Vec<ControlAddress> {
         let members = self.group.status().members;
         let mut recorded: Vec<ControlAddress> = self.group.with_machine(|machine| {
--- a/crates/pinerill-cluster/src/server/run.rs
+++ b/crates/pinerill-cluster/src/server/run.rs
@@ -80,7 +80,9 @@
     pub worker_list: Arc<dyn WorkerListProtocol>,
 }
 
-/// Runs a control machine until SIGTERM or SIGINT.
+/// Runs a control machine until SIGTERM or SIGINT. If the stored state can't be read, the machine
+/// serves nothing, but the process stays up until the signal, so that it is not restarted in a
+/// loop.
 ///
 /// # Errors
 /// Returns an error if the settings are invalid, the machine can't start, or its store fails.
