--- a/crates/pinerill-forward/src/batch/item.rs
+++ b/crates/pinerill-forward/src/batch/item.rs
@@ -20,7 +20,7 @@
 use crate::crash::Run as WorkerRun;
 use crate::exchange::{BreakReason, EventScanner, Exchange, StartedAnswer};
 use crate::fleet::Wanted;
-use crate::node::{Node, Occupied};
+use crate::node::{Node, OccupiedSlot};
 
 /// Pause before an item that could not begin is given back.
 const NOT_BEGUN_PAUSE: Duration = Duration::from_millis(500);
@@ -141,7 +141,7 @@
     node: &Arc<Node>,
     held: &Held,
     running: &mut Running,
-    place: Occupied,
+    place: OccupiedSlot,
 ) -> Option<ItemEnd> {
     let chosen = place.worker().clone();
     running.attempts += 1;
@@ -208,7 +208,7 @@
 
 /// Waits for a worker with room, and for the leader's word that the item is
 /// still this node's. None after a while if nothing of the item is here yet.
-async fn find_place(node: &Arc<Node>, held: &Held, running: &mut Running) -> Option<Occupied> {
+async fn find_place(node: &Arc<Node>, held: &Held, running: &mut Running) -> Option<OccupiedSlot> {
     let began = BootTime::now();
     while running.last.is_some() || began.elapsed() < PLACE_TIME {
         if held.is_renewed() && !node.calls_wait() {
@@ -220,7 +220,7 @@
                 homes: &running.homes,
             };
             if let Some(chosen) = node.choose_for_item(&wanted) {
-                return Some(node.occupy(&chosen, &running.prompt));
+                return Some(node.occupy_slot(&chosen, &running.prompt));
             }
         }
         running.avoid.clear();
@@ -232,11 +232,15 @@
 /// A run whose answer has begun.
 struct Begun {
     sent: StartedAnswer,
-    place: Occupied,
+    place: OccupiedSlot,
     run: WorkerRun,
 }
 
-async fn send(node: &Arc<Node>, running: &Running, place: Occupied) -> Result<Begun, BreakReason> {
+async fn send(
+    node: &Arc<Node>,
+    running: &Running,
+    place: OccupiedSlot,
+) -> Result<Begun, BreakReason> {
     let Some(worker) = node.with_fleet(|fleet, _| {
         let worker = fleet.worker(place.worker())?;
         Some(worker.entry().clone())
@@ -296,7 +300,7 @@
     running: &mut Running,
     held: &Held,
     mut exchange: Exchange,
-    place: Occupied,
+    place: OccupiedSlot,
     worker_run: &mut WorkerRun,
     node: &Node,
 ) -> Result<ReadEnd, BreakReason> {
@@ -350,7 +354,7 @@
 fn gave_way(node: &Node, running: &mut Running, worker: &str) {
     running.gave_way.get_or_insert_with(BootTime::now);
     running.times_given_way += 1;
-    node.metrics.items_gave_way.inc();
+    node.metrics.items_preempted.inc();
     log::info!(
         event = "item_gave_way", id = running.leased.id.as_str(), worker,
         last:? = running.last, due_in_ms = running.due_ms - node.now_ms() as i64; ""
--- a/crates/pinerill-forward/src/batch/leases.rs
+++ b/crates/pinerill-forward/src/batch/leases.rs
@@ -84,7 +84,7 @@
 /// wait for the leases to run out.
 pub(crate) async fn give_back(node: &Node) {
     let request = CallsRequest::LeaseItems(LeaseRequest {
-        node: node.start.clone(),
+        node: node.incarnation.clone(),
         zone: node.settings.zone.clone(),
         held: Vec::new(),
         want: 0,
@@ -108,7 +108,7 @@
             false => HOLD,
         };
         let request = CallsRequest::LeaseItems(LeaseRequest {
-            node: node.start.clone(),
+            node: node.incarnation.clone(),
             zone: node.settings.zone.clone(),
             held: held.items(),
             want: wanted(&node),
@@ -135,7 +135,7 @@
     if node.stopping.is_cancelled() || node.table().is_none() || node.calls_wait() {
         return 0;
     }
-    let nodes = node.beliefs.cell_nodes.load(Ordering::Relaxed).max(1);
+    let nodes = node.known_state.cell_nodes.load(Ordering::Relaxed).max(1);
     node.batch_capacity(nodes).items.min(TAKEN_AT_ONCE)
 }
 
--- a/crates/pinerill-forward/src/batch/mod.rs
+++ b/crates/pinerill-forward/src/batch/mod.rs
@@ -13,4 +13,4 @@
 mod runs;
 
 pub(crate) use leases::{give_back, run};
-pub(crate) use runs::Runs;
+pub(crate) use runs::ItemRuns;
--- a/crates/pinerill-forward/src/batch/preemption.rs
+++ b/crates/pinerill-forward/src/batch/preemption.rs
@@ -124,7 +124,7 @@
 
     /// The runs that are to end for `calls` calls that wait for a place of a service,
     /// at most as many; none for a moment after the last ones. They are taken off.
-    pub fn give_way(&mut self, now_ms: u64, service: &str, calls: usize) -> Vec<RunId> {
+    pub fn preempt(&mut self, now_ms: u64, service: &str, calls: usize) -> Vec<RunId> {
         let last_ms = self.gave_way_ms.get(service);
         if calls == 0 || last_ms.is_some_and(|at| now_ms < at + SETTLING_MS) {
             return Vec::new();
@@ -148,7 +148,7 @@
     }
 
     /// Items that could give way now, by service.
-    pub fn yielding(&self, now_ms: u64) -> HashMap<String, usize> {
+    pub fn preemptible(&self, now_ms: u64) -> HashMap<String, usize> {
         let mut yielding = HashMap::new();
         for item in self.running.values() {
             if self.readiness(now_ms, item).is_some() {
--- a/crates/pinerill-forward/src/batch/runs.rs
+++ b/crates/pinerill-forward/src/batch/runs.rs
@@ -39,19 +39,19 @@
 
 /// All runs of a node.
 #[derive(Default)]
-pub(crate) struct Runs {
+pub(crate) struct ItemRuns {
     state: Mutex<State>,
 }
 
 /// One run; taken off when dropped.
 pub(super) struct Run {
-    runs: Arc<Runs>,
+    runs: Arc<ItemRuns>,
     id: RunId,
     /// Completes once the run is to end.
     pub(super) gives_way: oneshot::Receiver<()>,
 }
 
-impl Runs {
+impl ItemRuns {
     /// An item begins to run or goes on.
     pub(super) fn begin(self: &Arc<Self>, item: RunningItem) -> Run {
         let (ender, gives_way) = oneshot::channel();
@@ -66,9 +66,9 @@
     }
 
     /// Ends runs for calls that wait for places of a service.
-    pub(crate) fn give_way(&self, now_ms: u64, service: &str, calls: usize) {
+    pub(crate) fn preempt(&self, now_ms: u64, service: &str, calls: usize) {
         let mut state = self.state.lock();
-        let ended = state.preemption.give_way(now_ms, service, calls);
+        let ended = state.preemption.preempt(now_ms, service, calls);
         for run in &ended {
             if let Some(ender) = state.enders.remove(run) {
                 // A run that has just ended by itself needs no word.
@@ -81,8 +81,8 @@
     }
 
     /// Items that could give way now, by service.
-    pub(crate) fn yielding(&self, now_ms: u64) -> HashMap<String, usize> {
-        self.state.lock().preemption.yielding(now_ms)
+    pub(crate) fn preemptible(&self, now_ms: u64) -> HashMap<String, usize> {
+        self.state.lock().preemption.preemptible(now_ms)
     }
 
     /// A whole item took so long at workers.
--- a/crates/pinerill-forward/src/call/attempt.rs
+++ b/crates/pinerill-forward/src/call/attempt.rs
@@ -13,7 +13,7 @@
 use crate::crash::Run;
 use crate::dispatch::{Placed, Unplaced};
 use crate::exchange::{BreakReason, Exchange, SendFailure, StartedAnswer};
-use crate::node::{Node, Occupied};
+use crate::node::{Node, OccupiedSlot};
 
 /// Delay before the next attempt when no worker is available.
 const NO_WORKER_RETRY_DELAY: Duration = Duration::from_millis(25);
@@ -32,7 +32,7 @@
     /// Head of the response, with the exchange that delivers the body.
     pub sent: StartedAnswer,
     /// The slot at the worker; freed when dropped.
-    pub slot: Occupied,
+    pub slot: OccupiedSlot,
     /// The run of the request at the worker. Its end must be reported to it; a run that is dropped
     /// before counts as abandoned by the caller.
     pub run: Run,
--- a/crates/pinerill-forward/src/call/relay.rs
+++ b/crates/pinerill-forward/src/call/relay.rs
@@ -22,7 +22,7 @@
 use super::{Call, CallOutcome, CallRecord};
 use crate::crash::Run;
 use crate::exchange::{BreakReason, EventScanner, Exchange};
-use crate::node::{Node, Occupied};
+use crate::node::{Node, OccupiedSlot};
 
 /// Body of a response to a caller, either complete or streamed.
 pub type AnswerBody = UnsyncBoxBody<Bytes, RelayError>;
@@ -49,7 +49,7 @@
 /// worker and frees the slot.
 pub(super) struct Running {
     pub(super) exchange: Exchange,
-    pub(super) slot: Occupied,
+    pub(super) slot: OccupiedSlot,
     pub(super) run: Run,
 }
 
--- a/crates/pinerill-forward/src/cluster/watch.rs
+++ b/crates/pinerill-forward/src/cluster/watch.rs
@@ -55,7 +55,11 @@
     let mut held = Held::default();
     let mut reachability = Reachability::default();
     loop {
-        if node.beliefs.told_by_others.swap(false, Ordering::Relaxed) {
+        if node
+            .known_state
+            .needs_full_update
+            .swap(false, Ordering::Relaxed)
+        {
             held = Held {
                 cell: held.cell,
                 ..Held::default()
@@ -101,8 +105,8 @@
 
 impl Reachability {
     fn heard(&mut self, node: &Node) {
-        node.beliefs
-            .control_heard_ms
+        node.known_state
+            .last_control_answer_ms
             .store(node.now_ms(), Ordering::Relaxed);
         if self.told != Some(true) {
             self.told = Some(true);
@@ -122,9 +126,11 @@
         self.told = Some(false);
         self.failure_logged = Some(BootTime::now());
         let asked = node.cluster.known_addresses();
-        let silent_ms = node
-            .now_ms()
-            .saturating_sub(node.beliefs.control_heard_ms.load(Ordering::Relaxed));
+        let silent_ms = node.now_ms().saturating_sub(
+            node.known_state
+                .last_control_answer_ms
+                .load(Ordering::Relaxed),
+        );
         let has_table = node.table().is_some();
         log::warn!(
             event = "control_reachable", reachable = false, asked:? = asked, silent_ms, has_table,
@@ -150,8 +156,10 @@
         held.processes = Some(Digest::of(&processes));
         learn_processes(node, processes);
     }
-    node.beliefs.nodes.store(response.nodes, Ordering::Relaxed);
-    let cell_nodes = &node.beliefs.cell_nodes;
+    node.known_state
+        .nodes
+        .store(response.nodes, Ordering::Relaxed);
+    let cell_nodes = &node.known_state.cell_nodes;
     cell_nodes.store(response.cell_nodes, Ordering::Relaxed);
     take_cell(node, response.cell, held);
     if let Some(table) = response.table {
@@ -180,9 +188,9 @@
 }
 
 fn note_dated(node: &Node, is_dated: bool) {
-    if node.beliefs.undated.swap(!is_dated, Ordering::Relaxed) == is_dated {
+    if node.known_state.undated.swap(!is_dated, Ordering::Relaxed) == is_dated {
         log::info!(event = "directory_dated", dated = is_dated; "");
-        node.beliefs.undated_found.notify_one();
+        node.known_state.undated_detected.notify_one();
     }
 }
 
@@ -195,7 +203,7 @@
         }
     };
     let version = table.version;
-    if node.take_table(RouteIndex::new(table)) {
+    if node.install_table(RouteIndex::new(table)) {
         log::info!(event = "table_in_force", version, packed_bytes = packed.size(); "");
     }
 }
@@ -234,7 +242,7 @@
         return;
     }
     held.cell = Some(cell);
-    *node.beliefs.cell.lock() = Some(cell);
+    *node.known_state.cell.lock() = Some(cell);
     log::info!(event = "cell_changed", index = cell.index, count = cell.count; "");
 }
 
@@ -273,7 +281,7 @@
 
 /// Workers of this node's cell; of all, if it knows none.
 fn workers_in_cell(node: &Node, workers: Vec<WorkerEntry>) -> Vec<WorkerEntry> {
-    let Some(cell) = *node.beliefs.cell.lock() else {
+    let Some(cell) = *node.known_state.cell.lock() else {
         return workers;
     };
     let partition = Partition::default().repartition(&workers);
@@ -335,9 +343,9 @@
     let mut pages = 1;
     let mut failures = 0;
     loop {
-        let nodes = node.beliefs.nodes.load(Ordering::Relaxed);
+        let nodes = node.known_state.nodes.load(Ordering::Relaxed);
         let rate = node.settings.worker_list_calls_per_s;
-        let pause = match node.beliefs.undated.load(Ordering::Relaxed) {
+        let pause = match node.known_state.undated.load(Ordering::Relaxed) {
             true => undated_pause(nodes, pages, rate, rand::random()),
             false => reading_pause(nodes, pages, rate, rand::random()),
         };
@@ -345,15 +353,18 @@
         tokio::select! {
             () = paused => {}
             // Nothing is known of the workers until the first reading.
-            () = node.beliefs.undated_found.notified() => {
+            () = node.known_state.undated_detected.notified() => {
                 sleep(first_undated_pause(nodes, pages, rate, rand::random())).await;
             }
         }
-        let heard_ms = node.beliefs.control_heard_ms.load(Ordering::Relaxed);
+        let heard_ms = node
+            .known_state
+            .last_control_answer_ms
+            .load(Ordering::Relaxed);
         let silent_ms = node.now_ms().saturating_sub(heard_ms);
         // Without a route table no call can go anywhere, so that workers are of no use: where all
         // processes have just started, the leader alone needs the list.
-        let undated = node.beliefs.undated.load(Ordering::Relaxed);
+        let undated = node.known_state.undated.load(Ordering::Relaxed);
         let is_needed = undated || Duration::from_millis(silent_ms) >= LIST_AFTER;
         if !is_needed || node.table().is_none() {
             continue;
@@ -370,7 +381,9 @@
                     );
                 }
                 take_reading(&node, started, reading);
-                node.beliefs.told_by_others.store(true, Ordering::Relaxed);
+                node.known_state
+                    .needs_full_update
+                    .store(true, Ordering::Relaxed);
             }
             Err(error) => {
                 failures += 1;
--- a/crates/pinerill-forward/src/confirmation.rs
+++ b/crates/pinerill-forward/src/confirmation.rs
@@ -98,7 +98,7 @@
     /// still in service. `asked_ms` is the earliest time at which the request may have been sent.
     pub(crate) fn record_worker_answer(&self, asked_ms: u64, worker: &str, answer: &WorkerAnswer) {
         if let Some(load) = answer.load {
-            self.take_load(worker, load);
+            self.record_load(worker, load);
         }
         let is_other_worker = answer.verdict == Verdict::NotRun(NotRunReason::OtherWorker);
         // A leaving worker closes its connections, but a worker may close one for other reasons
--- a/crates/pinerill-forward/src/dispatch/mod.rs
+++ b/crates/pinerill-forward/src/dispatch/mod.rs
@@ -34,7 +34,7 @@
 use self::times::CallTimes;
 use crate::call::Call;
 use crate::fleet::{Chosen, Placement, Prompt, Wanted, WorkerKey};
-use crate::node::{Node, Occupied};
+use crate::node::{Node, OccupiedSlot};
 
 /// Interval between two scans of the queue without a notification. Estimates of other nodes' load
 /// decay with time, so slots may count as free without any event.
@@ -53,7 +53,7 @@
     /// The worker and the basis of the choice.
     pub chosen: Chosen,
     /// The occupied slot; released when dropped.
-    pub place: Occupied,
+    pub place: OccupiedSlot,
 }
 
 /// Reason why a call got no slot.
@@ -320,7 +320,7 @@
     fn preempt_for_own_calls(&self, node: &Node) {
         let now_ms = node.now_ms();
         for (service, calls) in self.waiting_by_service() {
-            node.runs.give_way(now_ms, &service, calls);
+            node.runs.preempt(now_ms, &service, calls);
         }
     }
 
@@ -352,7 +352,7 @@
 
 fn occupy_slot(node: &Arc<Node>, chosen: Chosen, prompt: &Prompt) -> Placed {
     Placed {
-        place: node.occupy(&chosen, prompt),
+        place: node.occupy_slot(&chosen, prompt),
         chosen,
     }
 }
--- a/crates/pinerill-forward/src/dispatch/zone.rs
+++ b/crates/pinerill-forward/src/dispatch/zone.rs
@@ -27,7 +27,7 @@
                 .lock()
                 .preemption_share(now_ms, &own, rand::random());
             if share > 0 {
-                node.runs.give_way(now_ms, &own.service, share);
+                node.runs.preempt(now_ms, &own.service, share);
             }
         }
     }
@@ -37,7 +37,7 @@
     pub(crate) fn own_demand(&self, node: &Node) -> Vec<ServiceDemand> {
         let mut waiting = self.waiting_by_service();
         let mut demand: Vec<ServiceDemand> = Vec::new();
-        for (service, yielding) in node.runs.yielding(node.now_ms()) {
+        for (service, yielding) in node.runs.preemptible(node.now_ms()) {
             let waiting = waiting.remove(&service).unwrap_or(0) as u32;
             demand.push(ServiceDemand {
                 service,
--- a/crates/pinerill-forward/src/gateway/request.rs
+++ b/crates/pinerill-forward/src/gateway/request.rs
@@ -163,13 +163,13 @@
 /// refused, because its response would be cut off at the end. A node without a route table
 /// refuses calls too, because it can't know that a route does not exist.
 async fn admit(node: &Node) -> Result<Arc<RouteIndex>, Refusal> {
-    if node.takes_no_more() {
+    if node.rejects_new_calls() {
         return Err(Refusal::NotRun {
             reason: "the node stops",
             retry_after: Some(STOPPING_RETRY_AFTER),
         });
     }
-    node.until_awake().await;
+    node.wait_for_refresh().await;
     known_table(node).await
 }
 
--- a/crates/pinerill-forward/src/monitoring.rs
+++ b/crates/pinerill-forward/src/monitoring.rs
@@ -36,7 +36,7 @@
     pub(crate) health_checks: IntCounter,
     pub(crate) slow_starts: IntCounter,
     items: IntCounterVec,
-    pub(crate) items_gave_way: IntCounter,
+    pub(crate) items_preempted: IntCounter,
     pub(crate) items_withheld: IntCounter,
     workers_crashed: IntCounterVec,
     pub(crate) runs_crashed: IntCounter,
@@ -53,7 +53,7 @@
 
 /// Beliefs of a node that are single numbers.
 #[derive(Debug, Default)]
-pub(crate) struct Beliefs {
+pub(crate) struct KnownState {
     /// Nodes that watch, as the leader tells.
     pub(crate) nodes: AtomicU32,
     /// Nodes of this one's cell, as the leader tells.
@@ -61,14 +61,14 @@
     /// The cell that this node is in; none before the leader told.
     pub(crate) cell: Mutex<Option<CellId>>,
     /// When a control machine last answered, on the node's clock.
-    pub(crate) control_heard_ms: AtomicU64,
+    pub(crate) last_control_answer_ms: AtomicU64,
     /// Something else than the leader has said since which workers or control machines
     /// there are, so that the leader must tell all of it again.
-    pub(crate) told_by_others: AtomicBool,
+    pub(crate) needs_full_update: AtomicBool,
     /// The leader answers and does not tell how old its directory is: it is of an older build.
     pub(crate) undated: AtomicBool,
     /// It was just found that it does not.
-    pub(crate) undated_found: Notify,
+    pub(crate) undated_detected: Notify,
 }
 
 impl Metrics {
@@ -152,7 +152,7 @@
                 "Items of jobs that ended here, by end",
                 &["end"],
             )?,
-            items_gave_way: counter(
+            items_preempted: counter(
                 "pinerill_node_items_gave_way_total",
                 "Runs of items that ended for a call that waited",
             )?,
--- a/crates/pinerill-forward/src/node.rs
+++ b/crates/pinerill-forward/src/node.rs
@@ -14,7 +14,7 @@
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-use crate::batch::Runs;
+use crate::batch::ItemRuns;
 use crate::cluster::ClusterClient;
 use crate::confirmation::HealthChecks;
 use crate::crash::broken_runs::CrashEvidence;
@@ -22,7 +22,7 @@
 use crate::dispatch::Dispatcher;
 use crate::exchange::{BreakReason, ConnectionPool};
 use crate::fleet::{BatchCapacity, Chosen, Fleet, Prompt, SlowStartPermit, Wanted};
-use crate::monitoring::{Beliefs, Metrics};
+use crate::monitoring::{KnownState, Metrics};
 use crate::peers::Peers;
 use crate::quota::NodeQuota;
 use crate::slow_start::SlowStartDemand;
@@ -47,7 +47,7 @@
 pub struct Node {
     pub(crate) settings: NodeSettings,
     /// The node in this start of its process.
-    pub(crate) start: String,
+    pub(crate) incarnation: String,
     pub(crate) caller_protocol: Arc<dyn CallerProtocol>,
     worker_protocol: Arc<dyn WorkerProtocol>,
     pub(crate) cluster: ClusterClient,
@@ -59,14 +59,14 @@
     fleet: Mutex<Fleet>,
     connections: Arc<ConnectionPool>,
     pub(crate) dispatcher: Dispatcher,
-    pub(crate) runs: Arc<Runs>,
+    pub(crate) runs: Arc<ItemRuns>,
     pub(crate) crashes: CrashDesk,
     pub(crate) health_checks: HealthChecks,
     pub(crate) waking: ResumeGate,
     pub(crate) quota: NodeQuota,
     pub(crate) slow_starts: SlowStartDemand,
     pub(crate) metrics: Metrics,
-    pub(crate) beliefs: Beliefs,
+    pub(crate) known_state: KnownState,
     started: BootTime,
     pub(crate) stopping: CancellationToken,
     /// When it began to stop, on its clock; 0 before.
@@ -76,7 +76,7 @@
 /// What a node is made of.
 pub(crate) struct NodeParts {
     pub(crate) settings: NodeSettings,
-    pub(crate) start: String,
+    pub(crate) incarnation: String,
     pub(crate) caller_protocol: Arc<dyn CallerProtocol>,
     pub(crate) worker_protocol: Arc<dyn WorkerProtocol>,
     pub(crate) cluster: ClusterClient,
@@ -90,7 +90,7 @@
     pub(crate) fn new(parts: NodeParts) -> Self {
         Node {
             settings: parts.settings,
-            start: parts.start,
+            incarnation: parts.incarnation,
             caller_protocol: parts.caller_protocol,
             worker_protocol: parts.worker_protocol,
             cluster: parts.cluster,
@@ -108,7 +108,7 @@
             quota: NodeQuota::default(),
             slow_starts: SlowStartDemand::default(),
             metrics: parts.metrics,
-            beliefs: Beliefs::default(),
+            known_state: KnownState::default(),
             started: BootTime::now(),
             stopping: parts.stopping,
             stop_began_ms: AtomicU64::new(0),
@@ -122,7 +122,7 @@
     }
 
     /// Whether it stops and a call that came now could not end in time.
-    pub(crate) fn takes_no_more(&self) -> bool {
+    pub(crate) fn rejects_new_calls(&self) -> bool {
         let began_ms = self.stop_began_ms.load(Ordering::Relaxed);
         let taking_ms = self.settings.stop_s * TAKING_PART * 1_000.0;
         began_ms > 0 && (self.now_ms() - began_ms) as f64 > taking_ms
@@ -149,7 +149,10 @@
 
     /// Time since a control machine answered, milliseconds.
     pub(crate) fn control_silent_ms(&self) -> u64 {
-        let heard_ms = self.beliefs.control_heard_ms.load(Ordering::Relaxed);
+        let heard_ms = self
+            .known_state
+            .last_control_answer_ms
+            .load(Ordering::Relaxed);
         self.now_ms().saturating_sub(heard_ms)
     }
 
@@ -191,7 +194,9 @@
             return;
         };
         // The leader shall tell all of it again.
-        self.beliefs.told_by_others.store(true, Ordering::Relaxed);
+        self.known_state
+            .needs_full_update
+            .store(true, Ordering::Relaxed);
         log::warn!(
             event = "machine_was_suspended", ms = suspended.as_millis() as u64,
             directory_age_ms = self.directory_age_ms(); ""
@@ -199,7 +204,7 @@
     }
 
     /// Waits while what is believed is as old as before a suspension of the machine.
-    pub(crate) async fn until_awake(&self) {
+    pub(crate) async fn wait_for_refresh(&self) {
         self.look_at_clocks();
         while let Some(left) = self.waking.remaining_hold() {
             sleep(left.min(WAKING_LOOK_PAUSE)).await;
@@ -207,7 +212,7 @@
     }
 
     /// Takes in a route table unless one as new is in force.
-    pub(crate) fn take_table(&self, index: RouteIndex) -> bool {
+    pub(crate) fn install_table(&self, index: RouteIndex) -> bool {
         let mut held = self.table.write();
         let version = index.table().version;
         let newer = held
@@ -243,7 +248,7 @@
     }
 
     /// Takes a place at a worker.
-    pub fn occupy(self: &Arc<Self>, chosen: &Chosen, prompt: &Prompt) -> Occupied {
+    pub fn occupy_slot(self: &Arc<Self>, chosen: &Chosen, prompt: &Prompt) -> OccupiedSlot {
         let worker = chosen.entry.id.clone();
         let permit = self.with_fleet(|fleet, now_ms| {
             fleet.remember_prompt(now_ms, &worker, prompt);
@@ -251,7 +256,7 @@
         });
         self.peers.tell_prompt(&worker, chosen.prefill_ms);
         self.peers.changed();
-        Occupied {
+        OccupiedSlot {
             node: self.clone(),
             worker,
             permit,
@@ -259,7 +264,7 @@
     }
 
     /// Takes in a load sample of an answer.
-    pub fn take_load(&self, worker: &str, load: LoadSample) {
+    pub fn record_load(&self, worker: &str, load: LoadSample) {
         self.with_fleet(|fleet, now_ms| fleet.take_load(now_ms, worker, load));
     }
 
@@ -305,13 +310,13 @@
 }
 
 /// A place at a worker, given up when dropped.
-pub struct Occupied {
+pub struct OccupiedSlot {
     node: Arc<Node>,
     worker: WorkerId,
     permit: Option<SlowStartPermit>,
 }
 
-impl Occupied {
+impl OccupiedSlot {
     /// The worker.
     pub fn worker(&self) -> &WorkerId {
         &self.worker
@@ -329,7 +334,7 @@
     }
 }
 
-impl Drop for Occupied {
+impl Drop for OccupiedSlot {
     fn drop(&mut self) {
         self.node.with_fleet(|fleet, _| fleet.end(&self.worker));
         let dispatcher = &self.node.dispatcher;
--- a/crates/pinerill-forward/src/quota.rs
+++ b/crates/pinerill-forward/src/quota.rs
@@ -227,7 +227,7 @@
 
 async fn borrow_tokens(node: &Node, asks: Vec<TenantAsk>, asked_ms: u64) -> bool {
     let request = CallsRequest::Borrow(BorrowRequest {
-        node: node.start.clone(),
+        node: node.incarnation.clone(),
         asks: asks.clone(),
     });
     match node
--- a/crates/pinerill-forward/src/run.rs
+++ b/crates/pinerill-forward/src/run.rs
@@ -145,7 +145,7 @@
     };
     Ok(Node::new(NodeParts {
         metrics: Metrics::new().context("register metrics")?,
-        start: format!("{}/{:016x}", settings.name, rand::random::<u64>()),
+        incarnation: format!("{}/{:016x}", settings.name, rand::random::<u64>()),
         cluster: ClusterClient::new(identity, &settings.seed_addresses()),
         fleet: Fleet::new(&settings.zone, choice).with_regions(settings.zones.clone()),
         peers,
@@ -166,7 +166,9 @@
                 let seeds = seeds.unwrap_or_default();
                 log::info!(event = "settings_reloaded", seeds:? = seeds; "");
                 node.cluster.learn(seeds);
-                node.beliefs.told_by_others.store(true, Ordering::Relaxed);
+                node.known_state
+                    .needs_full_update
+                    .store(true, Ordering::Relaxed);
             }
             Err(error) => log::warn!(event = "settings_refused", error:%; ""),
         }
--- a/crates/pinerill-forward/src/slow_start.rs
+++ b/crates/pinerill-forward/src/slow_start.rs
@@ -69,7 +69,7 @@
 async fn borrow_permits(node: &Node, workers: Vec<ColdWorker>) {
     let count = workers.len();
     let request = CallsRequest::BorrowSlowStarts(SlowStartRequest {
-        node: node.start.clone(),
+        node: node.incarnation.clone(),
         workers,
     });
     let sent_ms = node.now_ms();
--- a/crates/pinerill-forward/tests/preemption.rs
+++ b/crates/pinerill-forward/tests/preemption.rs
@@ -40,8 +40,8 @@
     let mut preemption = items_of_four_seconds();
     let tight = begin(&mut preemption, 16_000);
     let loose = begin(&mut preemption, 30_000);
-    assert_eq!(preemption.give_way(NOW, "s", 1), [loose]);
-    assert_eq!(preemption.give_way(LATER, "s", 1), [tight]);
+    assert_eq!(preemption.preempt(NOW, "s", 1), [loose]);
+    assert_eq!(preemption.preempt(LATER, "s", 1), [tight]);
     assert_eq!(preemption.running(), 0);
 }
 
@@ -51,9 +51,9 @@
     for _ in 0..5 {
         begin(&mut preemption, 30_000);
     }
-    assert_eq!(preemption.give_way(NOW, "s", 0), NONE);
-    assert_eq!(preemption.give_way(NOW, "s", 2).len(), 2);
-    assert_eq!(preemption.give_way(LATER, "s", 9).len(), 3);
+    assert_eq!(preemption.preempt(NOW, "s", 0), NONE);
+    assert_eq!(preemption.preempt(NOW, "s", 2).len(), 2);
+    assert_eq!(preemption.preempt(LATER, "s", 9).len(), 3);
 }
 
 #[test]
@@ -62,16 +62,16 @@
     for _ in 0..5 {
         begin(&mut preemption, 30_000);
     }
-    assert_eq!(preemption.give_way(NOW, "s", 2).len(), 2);
-    assert_eq!(preemption.give_way(NOW + 1, "s", 2), NONE);
+    assert_eq!(preemption.preempt(NOW, "s", 2).len(), 2);
+    assert_eq!(preemption.preempt(NOW + 1, "s", 2), NONE);
 }
 
 #[test]
 fn an_item_gives_way_only_to_calls_of_its_service() {
     let mut preemption = items_of_four_seconds();
     let other = preemption.begin(item("other", 30_000));
-    assert_eq!(preemption.give_way(NOW, "s", 3), NONE);
-    assert_eq!(preemption.give_way(NOW, "other", 3), [other]);
+    assert_eq!(preemption.preempt(NOW, "s", 3), NONE);
+    assert_eq!(preemption.preempt(NOW, "other", 3), [other]);
 }
 
 #[test]
@@ -82,7 +82,7 @@
         preemption.resumed(Duration::from_secs(1));
     }
     begin(&mut preemption, 14_050);
-    assert_eq!(preemption.give_way(NOW, "s", 1), NONE);
+    assert_eq!(preemption.preempt(NOW, "s", 1), NONE);
 }
 
 #[test]
@@ -90,7 +90,7 @@
     let mut preemption = items_of_four_seconds();
     begin(&mut preemption, 30_000);
     let late = begin(&mut preemption, 12_000);
-    assert_eq!(preemption.give_way(NOW, "s", 1), [late]);
+    assert_eq!(preemption.preempt(NOW, "s", 1), [late]);
 }
 
 #[test]
@@ -98,9 +98,9 @@
     let mut preemption = items_of_four_seconds();
     let loose = begin(&mut preemption, 30_000);
     preemption.take_backlog(Some(-1));
-    assert_eq!(preemption.give_way(NOW, "s", 1), NONE);
+    assert_eq!(preemption.preempt(NOW, "s", 1), NONE);
     preemption.take_backlog(None);
-    assert_eq!(preemption.give_way(NOW, "s", 1), [loose]);
+    assert_eq!(preemption.preempt(NOW, "s", 1), [loose]);
 }
 
 #[test]
@@ -111,14 +111,14 @@
     resumed.ran_ms = 3_000.0;
     preemption.begin(resumed);
     preemption.take_backlog(Some(-1));
-    assert_eq!(preemption.give_way(NOW, "s", 1), NONE, "it is not late");
+    assert_eq!(preemption.preempt(NOW, "s", 1), NONE, "it is not late");
 }
 
 #[test]
 fn before_any_item_has_ended_half_of_its_time_is_taken() {
     let mut preemption = Preemption::default();
     let loose = begin(&mut preemption, NOW as i64 + 20_000);
-    assert_eq!(preemption.give_way(NOW, "s", 1), [loose]);
+    assert_eq!(preemption.preempt(NOW, "s", 1), [loose]);
 }
 
 #[test]
@@ -127,7 +127,7 @@
     let run = begin(&mut preemption, 30_000);
     preemption.end(run);
     preemption.end(run);
-    assert_eq!(preemption.give_way(NOW, "s", 1), NONE);
+    assert_eq!(preemption.preempt(NOW, "s", 1), NONE);
 }
 
 proptest! {
@@ -147,7 +147,7 @@
             .iter()
             .map(|due_ms| (begin(&mut preemption, *due_ms), *due_ms))
             .collect();
-        let gave = preemption.give_way(NOW, "s", calls);
+        let gave = preemption.preempt(NOW, "s", calls);
         prop_assert!(gave.len() <= calls);
         let least_given = gave.iter().map(|run| due_of[run]).min();
         let most_kept = due_of
@@ -170,7 +170,7 @@
     // This one is due as soon as it can be done.
     begin(&mut preemption, NOW as i64 + 4_000);
     preemption.begin(item("other", NOW as i64 + 20_000));
-    let yielding = preemption.yielding(NOW);
+    let yielding = preemption.preemptible(NOW);
     assert_eq!(yielding.get("s"), Some(&2));
     assert_eq!(yielding.get("other"), Some(&1));
 }
