--- a/crates/pinerill-forward/src/batch/item.rs
+++ b/crates/pinerill-forward/src/batch/item.rs
@@ -1,4 +1,8 @@
-//! Runs one item until it has an end.
+//! Runs one leased item of a job until it completes, fails or is released.
+//!
+//! `leases` spawns one task per leased item. Each attempt waits for a slot, sends the item to
+//! a worker and reads its events. After a broken attempt or a preemption, the item resumes
+//! behind its last event, possibly at another worker.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,55 +16,63 @@
 use pinerill_process::clock::{suspensions, BootTime};
 use tokio::time::{sleep, timeout};
 
-use super::leases::Held;
+use super::leases::HeldLeases;
 use super::preemption::RunningItem;
-use super::reports::Reporter;
-use super::running::{begin, Running};
-use super::runs::Run;
+use super::reports::ReportSender;
+use super::running::{prepare, ActiveItem};
+use super::runs::ItemRun;
 use crate::crash::Run as WorkerRun;
 use crate::exchange::{BreakReason, EventScanner, Exchange, StartedAnswer};
 use crate::fleet::Wanted;
 use crate::node::{Node, OccupiedSlot};
 
-/// Pause before an item that could not begin is given back.
-const NOT_BEGUN_PAUSE: Duration = Duration::from_millis(500);
-/// Time after which an item that has not begun and finds no place is given back:
-/// another zone may have room.
-const PLACE_TIME: Duration = Duration::from_millis(300);
-/// Pause before a place is looked for again.
-const PLACE_PAUSE: Duration = Duration::from_millis(50);
-/// Silence after which an item is continued at another worker.
-const PATIENCE: Duration = Duration::from_millis(2_500);
-/// Pause between two looks at an item that is known to crash workers: it may be cleared, or
-/// its crashes be forgotten.
-const WITHHELD_PAUSE: Duration = Duration::from_secs(1);
-/// Time after which such an item is tried once more, and how often. A sound one that ran
-/// beside the cause of three crashes in a row, as happens where there are few workers, ends
-/// well and is cleared; one that causes them costs two workers more, seconds apart.
-const TRIAL_PAUSE: Duration = Duration::from_secs(8);
-const MOST_TRIALS: u32 = 2;
-/// Bytes of an answer's body that is no series of events.
+/// Delay before an item that could not be prepared is released to the leader.
+const START_FAILURE_DELAY: Duration = Duration::from_millis(500);
+/// Time after which an item that has no events yet and finds no free slot is released:
+/// another zone may have free slots.
+const SLOT_WAIT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Interval between two searches for a free slot, and delay after a worker rejected the item.
+const SLOT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Time without data from a worker after which an attempt fails and the item resumes at another
+/// worker.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Interval between two checks of whether a withheld item is still blocked: the block ends when
+/// the request is cleared or its crashes expire.
+const BLOCK_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Delay before each trial run of a blocked item. A harmless item may have run beside the cause
+/// of three crashes in a row, which happens where there are few workers; a trial then completes
+/// and clears it.
+const TRIAL_DELAY: Duration = Duration::from_secs(8);
+/// Trial runs that a blocked item gets. An item that does cause crashes costs two more workers,
+/// seconds apart.
+const MAX_TRIALS: u32 = 2;
+/// Largest response body, in bytes, that is read when the response is not an event stream.
 const SHORT_ANSWER_LIMIT: usize = 64 << 10;
 
-/// Runs an item and reports its end. Dropping the future closes the connection
-/// to the worker, which then stops working on it.
-pub(super) async fn run(node: Arc<Node>, held: Arc<Held>, leased: LeasedItem, reporter: Reporter) {
+/// Runs an item and sends its final result to `reporter`. Dropping the future closes the
+/// connection to the worker, which then stops processing the item.
+pub(super) async fn run(
+    node: Arc<Node>,
+    held: Arc<HeldLeases>,
+    leased: LeasedItem,
+    reporter: ReportSender,
+) {
     let item = leased.item.clone();
     let started = BootTime::now();
-    let Some(mut running) = begin(&node, leased).await else {
-        // It did not run, so that no failure is told: it may have ended
-        // meanwhile, or its route be gone or newer here than at the leader.
+    let Some(mut running) = prepare(&node, leased).await else {
+        // The item did not run, so no failure is reported: the item may have ended in the
+        // meantime, or its route may be missing here or newer than the leader's.
         log::warn!(event = "item_not_begun", job:% = item.job, index = item.index; "");
-        sleep(NOT_BEGUN_PAUSE).await;
+        sleep(START_FAILURE_DELAY).await;
         held.release(&item);
         return;
     };
     let end = loop {
         match attempt(&node, &held, &mut running).await {
-            Attempt::Ended(end) => break end,
-            Attempt::GoesOn => {}
-            Attempt::Withheld => withhold(&node, &mut running).await,
-            Attempt::NoPlace => {
+            AttemptResult::Ended(end) => break end,
+            AttemptResult::Retry => {}
+            AttemptResult::Withheld => withhold(&node, &mut running).await,
+            AttemptResult::NoSlot => {
                 log::info!(
                     event = "item_given_back", id = running.leased.id.as_str(),
                     job:% = item.job, index = item.index; ""
@@ -77,48 +89,48 @@
     };
     node.metrics.item_ended(outcome);
     if let ItemEnd::Completed(_) = &end {
-        node.runs.item_ended(running.ran);
+        node.runs.record_run_time(running.time_run);
     }
     log::info!(
         event = "item_ended", id = running.leased.id.as_str(), job:% = item.job,
         index = item.index, attempts = running.attempts, bytes = running.bytes.0,
-        kept_bytes = running.bytes.1, gave_way = running.times_given_way,
+        kept_bytes = running.bytes.1, gave_way = running.preemptions,
         outcome, ms = started.elapsed().as_millis() as u64; ""
     );
-    // The receiver lives as long as the node.
+    // Sending cannot fail: the receiver lives as long as the node.
     let _ = reporter.send(ItemReport { item, end });
 }
 
-/// How an attempt at one worker ended.
-enum Attempt {
-    /// The item has an end.
+/// Result of one attempt to run an item.
+enum AttemptResult {
+    /// The item has a final result.
     Ended(ItemEnd),
-    /// It must go on elsewhere.
-    GoesOn,
-    /// It is known to crash workers.
+    /// The item needs another attempt.
+    Retry,
+    /// The item was not sent because its request is known to crash workers.
     Withheld,
-    /// No worker has room for it, and nothing of it is here.
-    NoPlace,
+    /// No worker has a free slot for the item, and none of its events have arrived.
+    NoSlot,
 }
 
-async fn attempt(node: &Arc<Node>, held: &Held, running: &mut Running) -> Attempt {
+async fn attempt(node: &Arc<Node>, held: &HeldLeases, running: &mut ActiveItem) -> AttemptResult {
     if node.is_blocked(&running.identity) && !std::mem::take(&mut running.on_trial) {
-        return Attempt::Withheld;
+        return AttemptResult::Withheld;
     }
-    match find_place(node, held, running).await {
-        Some(place) => match attempt_at(node, held, running, place).await {
-            Some(end) => Attempt::Ended(end),
-            None => Attempt::GoesOn,
+    match wait_for_slot(node, held, running).await {
+        Some(slot) => match attempt_on(node, held, running, slot).await {
+            Some(end) => AttemptResult::Ended(end),
+            None => AttemptResult::Retry,
         },
-        None => Attempt::NoPlace,
+        None => AttemptResult::NoSlot,
     }
 }
 
-/// Keeps an item from workers that it would crash. It stays leased to this node, so that
-/// no other one begins it, until the leader gives it up: an item may be told as dead only
-/// after its time, since a crash is no answer of failure. As only this node has it, its
-/// trials come one after the other.
-async fn withhold(node: &Node, running: &mut Running) {
+/// Waits until an item that is blocked for crashing workers is no longer blocked or is due for
+/// a trial run. The item stays leased to this node until the leader stops it, so that no other
+/// node starts it: a crash is not a failure response, so the item may be declared dead only
+/// after its due time. Trials never overlap, since only this node has the item.
+async fn withhold(node: &Node, running: &mut ActiveItem) {
     node.metrics.items_withheld.inc();
     log::warn!(
         event = "item_withheld", id = running.leased.id.as_str(),
@@ -127,8 +139,8 @@
     );
     let since = BootTime::now();
     while node.is_blocked(&running.identity) {
-        sleep(WITHHELD_PAUSE).await;
-        if running.trials < MOST_TRIALS && since.elapsed() >= TRIAL_PAUSE {
+        sleep(BLOCK_CHECK_INTERVAL).await;
+        if running.trials < MAX_TRIALS && since.elapsed() >= TRIAL_DELAY {
             running.trials += 1;
             running.on_trial = true;
             return;
@@ -136,23 +148,23 @@
     }
 }
 
-/// One attempt at one worker; none if the item must go on elsewhere.
-async fn attempt_at(
+/// Makes one attempt at the worker of `slot`. Returns None if the item needs another attempt.
+async fn attempt_on(
     node: &Arc<Node>,
-    held: &Held,
-    running: &mut Running,
-    place: OccupiedSlot,
+    held: &HeldLeases,
+    running: &mut ActiveItem,
+    slot: OccupiedSlot,
 ) -> Option<ItemEnd> {
-    let chosen = place.worker().clone();
+    let chosen = slot.worker().clone();
     running.attempts += 1;
-    let Begun {
+    let StartedRun {
         sent,
-        place,
+        slot,
         mut run,
-    } = match send(node, running, place).await {
+    } = match send(node, running, slot).await {
         Ok(begun) => begun,
         Err(reason) => {
-            broke(node, running, &chosen, &reason);
+            record_broken_attempt(node, running, &chosen, &reason);
             return None;
         }
     };
@@ -164,7 +176,7 @@
             }
             run.not_begun();
             drain(node, sent).await;
-            sleep(PLACE_PAUSE).await;
+            sleep(SLOT_RETRY_INTERVAL).await;
             None
         }
         Verdict::Impossible => {
@@ -174,15 +186,15 @@
         }
         Verdict::Taken if sent.head.status == StatusCode::OK => {
             let began = BootTime::now();
-            let read = read_events(running, held, sent.exchange, place, &mut run, node).await;
-            running.ran += began.elapsed();
+            let read = read_events(running, held, sent.exchange, slot, &mut run, node).await;
+            running.time_run += began.elapsed();
             match read {
-                Ok(ReadEnd::GaveWay) => {
-                    gave_way(node, running, &chosen);
+                Ok(ReadEnd::Preempted) => {
+                    record_preemption(node, running, &chosen);
                     None
                 }
-                Ok(ReadEnd::LeaseInDoubt) => None,
-                Ok(ReadEnd::Whole) => {
+                Ok(ReadEnd::LeaseUnconfirmed) => None,
+                Ok(ReadEnd::Complete) => {
                     run.answered();
                     let text = std::mem::take(&mut running.text).into_bytes();
                     let kept = compress(&text);
@@ -191,7 +203,7 @@
                 }
                 Err(reason) => {
                     run.broke(&reason);
-                    broke(node, running, &chosen, &reason);
+                    record_broken_attempt(node, running, &chosen, &reason);
                     None
                 }
             }
@@ -206,12 +218,16 @@
     }
 }
 
-/// Waits for a worker with room, and for the leader's word that the item is
-/// still this node's. None after a while if nothing of the item is here yet.
-async fn find_place(node: &Arc<Node>, held: &Held, running: &mut Running) -> Option<OccupiedSlot> {
+/// Waits for a worker with a free slot while the lease is confirmed and no calls wait. Returns
+/// None after `SLOT_WAIT_TIMEOUT` if no event of the item has arrived; otherwise keeps waiting.
+async fn wait_for_slot(
+    node: &Arc<Node>,
+    held: &HeldLeases,
+    running: &mut ActiveItem,
+) -> Option<OccupiedSlot> {
     let began = BootTime::now();
-    while running.last.is_some() || began.elapsed() < PLACE_TIME {
-        if held.is_renewed() && !node.calls_wait() {
+    while running.last_event.is_some() || began.elapsed() < SLOT_WAIT_TIMEOUT {
+        if held.is_renewed() && !node.has_waiting_calls() {
             let wanted = Wanted {
                 service: &running.service,
                 prompt: &running.prompt,
@@ -224,36 +240,36 @@
             }
         }
         running.avoid.clear();
-        sleep(PLACE_PAUSE).await;
+        sleep(SLOT_RETRY_INTERVAL).await;
     }
     None
 }
 
-/// A run whose answer has begun.
-struct Begun {
+/// A run for which the worker has started to respond.
+struct StartedRun {
     sent: StartedAnswer,
-    place: OccupiedSlot,
+    slot: OccupiedSlot,
     run: WorkerRun,
 }
 
 async fn send(
     node: &Arc<Node>,
-    running: &Running,
-    place: OccupiedSlot,
-) -> Result<Begun, BreakReason> {
+    running: &ActiveItem,
+    slot: OccupiedSlot,
+) -> Result<StartedRun, BreakReason> {
     let Some(worker) = node.with_fleet(|fleet, _| {
-        let worker = fleet.worker(place.worker())?;
+        let worker = fleet.worker(slot.worker())?;
         Some(worker.entry().clone())
     }) else {
         return Err(BreakReason::Connect("the worker is gone".to_owned()));
     };
-    let permit = place.permit();
+    let permit = slot.permit();
     node.confirm(&worker, permit).await?;
-    let run = WorkerRun::begin(node, &worker, &running.identity, running.last);
+    let run = WorkerRun::begin(node, &worker, &running.identity, running.last_event);
     let facts = AttemptFacts {
         remaining: None,
         worker: worker.id.name(),
-        resume_after: running.last,
+        resume_after: running.last_event,
         tenant: running.leased.item.job.tenant(),
     };
     let protocol = node.worker_protocol();
@@ -268,7 +284,7 @@
         || node.may_send(&worker, permit),
     );
     let asked_ms = node.now_ms();
-    let sent = match timeout(PATIENCE, begun).await {
+    let sent = match timeout(IDLE_TIMEOUT, begun).await {
         Ok(Ok(sent)) => sent,
         Ok(Err(failure)) => {
             match failure.sent {
@@ -283,98 +299,104 @@
         }
     };
     node.record_worker_answer(asked_ms, &worker.id, &sent.answer);
-    Ok(Begun { sent, place, run })
+    Ok(StartedRun { sent, slot, run })
 }
 
-/// How reading an item's events ended.
+/// Reason why reading an item's events ended without an error.
 enum ReadEnd {
-    /// All are here.
-    Whole,
-    /// The run ended for a call that waits.
-    GaveWay,
-    /// The machine was suspended, and the leader has not confirmed the lease since.
-    LeaseInDoubt,
+    /// All events have arrived.
+    Complete,
+    /// The run was preempted by a waiting call.
+    Preempted,
+    /// The machine was suspended, and the leader has not confirmed the lease for
+    /// `leases::RENEWAL_TTL`.
+    LeaseUnconfirmed,
 }
 
 async fn read_events(
-    running: &mut Running,
-    held: &Held,
+    running: &mut ActiveItem,
+    held: &HeldLeases,
     mut exchange: Exchange,
-    place: OccupiedSlot,
+    slot: OccupiedSlot,
     worker_run: &mut WorkerRun,
     node: &Node,
 ) -> Result<ReadEnd, BreakReason> {
-    let mut run = register(node, running);
-    let mut scanner = EventScanner::after(running.last);
+    let mut run = register_run(node, running);
+    let mut scanner = EventScanner::after(running.last_event);
     let suspensions_before = suspensions();
     loop {
         let piece = tokio::select! {
-            piece = timeout(PATIENCE, exchange.next_piece()) => piece,
-            // Dropping the exchange closes its connection, so that the worker stops.
-            Ok(()) = &mut run.gives_way => {
-                place.succeeded();
-                return Ok(ReadEnd::GaveWay);
+            piece = timeout(IDLE_TIMEOUT, exchange.next_piece()) => piece,
+            // Dropping the exchange closes its connection, which stops the worker's run.
+            Ok(()) = &mut run.preempted => {
+                slot.succeeded();
+                return Ok(ReadEnd::Preempted);
             }
         };
         let Some(piece) = piece.unwrap_or(Err(BreakReason::Silent))? else {
             break;
         };
         if suspensions() != suspensions_before && !held.is_renewed() {
-            place.succeeded();
-            return Ok(ReadEnd::LeaseInDoubt);
+            slot.succeeded();
+            return Ok(ReadEnd::LeaseUnconfirmed);
         }
         let batch = scanner.push(&piece).map_err(|_| BreakReason::EventOrder)?;
         if batch.count > 0 {
             running.text.append(&batch.bytes);
-            running.last = scanner.last();
-            worker_run.reached(running.last);
-            if let Some(gave_way) = running.gave_way.take() {
-                node.runs.resumed(gave_way.elapsed());
+            running.last_event = scanner.last();
+            worker_run.reached(running.last_event);
+            if let Some(interrupted_at) = running.interrupted_at.take() {
+                node.runs.record_interruption(interrupted_at.elapsed());
             }
         }
     }
     if scanner.has_partial_event() {
         return Err(BreakReason::Truncated);
     }
-    place.succeeded();
+    slot.succeeded();
     exchange.finish(node.connections());
-    Ok(ReadEnd::Whole)
+    Ok(ReadEnd::Complete)
 }
 
-fn register(node: &Node, running: &Running) -> Run {
+fn register_run(node: &Node, running: &ActiveItem) -> ItemRun {
     node.runs.begin(RunningItem {
         service: running.service.clone(),
         due_ms: running.due_ms,
         began_ms: node.now_ms(),
-        ran_ms: running.ran.as_secs_f64() * 1_000.0,
+        ran_ms: running.time_run.as_secs_f64() * 1_000.0,
         allowed_ms: running.leased.due_in_ms.max(0) as f64,
     })
 }
 
-fn gave_way(node: &Node, running: &mut Running, worker: &str) {
-    running.gave_way.get_or_insert_with(BootTime::now);
-    running.times_given_way += 1;
+fn record_preemption(node: &Node, running: &mut ActiveItem, worker: &str) {
+    running.interrupted_at.get_or_insert_with(BootTime::now);
+    running.preemptions += 1;
     node.metrics.items_preempted.inc();
     log::info!(
         event = "item_gave_way", id = running.leased.id.as_str(), worker,
-        last:? = running.last, due_in_ms = running.due_ms - node.now_ms() as i64; ""
+        last:? = running.last_event, due_in_ms = running.due_ms - node.now_ms() as i64; ""
     );
 }
 
-fn broke(node: &Node, running: &mut Running, worker: &WorkerId, reason: &BreakReason) {
+fn record_broken_attempt(
+    node: &Node,
+    running: &mut ActiveItem,
+    worker: &WorkerId,
+    reason: &BreakReason,
+) {
     node.worker_failed(worker, reason);
     running.avoid = vec![worker.clone()];
     log::info!(
         event = "item_attempt_broke", id = running.leased.id.as_str(), worker = worker.as_str(),
-        request:% = running.identity.fingerprint(), last:? = running.last, reason:% = reason; ""
+        request:% = running.identity.fingerprint(), last:? = running.last_event, reason:% = reason; ""
     );
 }
 
-/// Keeps the connection if the answer can be read to its end.
+/// Reads the rest of a response so that its connection can be reused.
 async fn drain(node: &Node, sent: StartedAnswer) {
     let reading = sent
         .exchange
         .read_whole(node.connections(), SHORT_ANSWER_LIMIT);
-    // Whatever is left unread closes the connection.
-    let _ = timeout(PATIENCE, reading).await;
+    // A response that is not read to its end closes the connection.
+    let _ = timeout(IDLE_TIMEOUT, reading).await;
 }
--- a/crates/pinerill-forward/src/batch/leases.rs
+++ b/crates/pinerill-forward/src/batch/leases.rs
@@ -1,4 +1,7 @@
-//! Takes items from the leader and renews what runs.
+//! Leases items from the leader and renews the leases of items that this node runs.
+//!
+//! Started by `run`. One long-polling request at a time both renews the held leases and asks
+//! for more items.
 
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
@@ -16,43 +19,43 @@
 use super::{item, reports};
 use crate::node::Node;
 
-/// How long the leader may hold an answer; leases are renewed at this pace.
-const HOLD: Duration = Duration::from_millis(500);
-/// The same while nothing is held that could be renewed: items that wait wake a node at once, and
-/// all nodes of the fleet ask.
-const IDLE_HOLD: Duration = Duration::from_millis(1_000);
-/// How long the node asks around.
-const ASK_TIME: Duration = Duration::from_millis(1_000);
-/// How long the node asks around as it stops.
-const GIVE_BACK_TIME: Duration = Duration::from_millis(400);
-/// Pause after no control machine answered.
-const LOST_PAUSE: Duration = Duration::from_millis(100);
-/// Shortest pause between two requests: items that end together are renewed
-/// and replaced together.
-const REQUEST_PAUSE: Duration = Duration::from_millis(30);
-/// Items that one answer brings at most: those that begin together read their
-/// prompts together.
-const TAKEN_AT_ONCE: u32 = 4;
-/// Without a renewal for this long nothing is sent to a worker any more: the
-/// job may have been ended, or the item be another node's.
-const RENEWAL_LIFE: Duration = Duration::from_millis(1_800);
+/// Longest time that the leader may delay a response; also the interval of lease renewals.
+const LONG_POLL_TIME: Duration = Duration::from_millis(500);
+/// Longest delay of a response while this node holds no leases. It is longer because nothing
+/// needs renewal, queued items wake a node at once, and all nodes of the fleet poll.
+const IDLE_LONG_POLL_TIME: Duration = Duration::from_millis(1_000);
+/// Time to find a control machine that responds, in addition to the long-poll time.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Time limit of the request that releases all leases when the node stops.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Delay before the next request after one that failed.
+const FAILED_REQUEST_DELAY: Duration = Duration::from_millis(100);
+/// Minimum delay between a response and the next request, so that items that end at about the
+/// same time are replaced by one request.
+const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(30);
+/// Maximum number of items leased per response: items that start together process their prompts
+/// at the same time.
+const MAX_ITEMS_PER_RESPONSE: u32 = 4;
+/// Time without a renewal after which no item is sent to a worker: the job may have ended, or
+/// the item may be leased to another node.
+const RENEWAL_TTL: Duration = Duration::from_millis(1_800);
 
-/// What the node holds.
-pub(super) struct Held {
+/// The items leased to this node, with the tasks that run them.
+pub(super) struct HeldLeases {
     tasks: Mutex<HashMap<ItemRef, AbortOnDropHandle<()>>>,
-    renewed: Mutex<Option<BootTime>>,
-    /// Something ended, so that there may be room.
+    renewed_at: Mutex<Option<BootTime>>,
+    /// Notified when an item is released, which may have freed a slot.
     pub(super) changed: Notify,
 }
 
-impl Held {
-    /// Whether the leader confirmed what is held a short while ago.
+impl HeldLeases {
+    /// Returns whether the leader confirmed the leases within `RENEWAL_TTL`.
     pub(super) fn is_renewed(&self) -> bool {
-        let renewed = *self.renewed.lock();
-        renewed.is_some_and(|at| at.elapsed() < RENEWAL_LIFE)
+        let renewed_at = *self.renewed_at.lock();
+        renewed_at.is_some_and(|at| at.elapsed() < RENEWAL_TTL)
     }
 
-    /// An item's end is recorded.
+    /// Removes an item and aborts its task: its result is recorded, or it is returned unfinished.
     pub(super) fn release(&self, item: &ItemRef) {
         self.tasks.lock().remove(item);
         self.changed.notify_one();
@@ -67,22 +70,22 @@
     }
 }
 
-/// Runs items; ends once the node stops and nothing is held any more.
+/// Leases and runs items until the node is stopping and holds no more of them.
 pub(crate) async fn run(node: Arc<Node>) {
     let (reporter, reported) = mpsc::unbounded_channel();
-    let held = Arc::new(Held {
+    let held = Arc::new(HeldLeases {
         tasks: Mutex::default(),
-        renewed: Mutex::new(None),
+        renewed_at: Mutex::new(None),
         changed: Notify::new(),
     });
     let reporting = reports::run(node.clone(), held.clone(), reported);
-    let leasing = lease(node, held, reporter);
+    let leasing = lease_items(node, held, reporter);
     tokio::join!(reporting, leasing);
 }
 
-/// Tells the leader that nothing is held here any more, so that others need not
-/// wait for the leases to run out.
-pub(crate) async fn give_back(node: &Node) {
+/// Informs the leader that this node holds no leases, so that other nodes can lease its items
+/// before the leases expire. A failure is logged and otherwise ignored.
+pub(crate) async fn release_all(node: &Node) {
     let request = CallsRequest::LeaseItems(LeaseRequest {
         node: node.incarnation.clone(),
         zone: node.settings.zone.clone(),
@@ -93,61 +96,65 @@
     });
     if let Err(failure) = node
         .cluster
-        .call(&request, GIVE_BACK_TIME, Duration::ZERO)
+        .call(&request, RELEASE_TIMEOUT, Duration::ZERO)
         .await
     {
         log::warn!(event = "items_not_given_back", reason = failure.message.as_str(); "");
     }
 }
 
-async fn lease(node: Arc<Node>, held: Arc<Held>, reporter: reports::Reporter) {
+async fn lease_items(node: Arc<Node>, held: Arc<HeldLeases>, reporter: reports::ReportSender) {
     while !(node.stopping.is_cancelled() && held.is_empty()) {
         let started = BootTime::now();
-        let hold = match held.is_empty() {
-            true => IDLE_HOLD,
-            false => HOLD,
+        let poll_time = match held.is_empty() {
+            true => IDLE_LONG_POLL_TIME,
+            false => LONG_POLL_TIME,
         };
         let request = CallsRequest::LeaseItems(LeaseRequest {
             node: node.incarnation.clone(),
             zone: node.settings.zone.clone(),
             held: held.items(),
-            want: wanted(&node),
-            run_ms: node.runs.longest_ms(),
-            wait_ms: hold.as_millis() as u64,
+            want: items_wanted(&node),
+            run_ms: node.runs.longest_run_ms(),
+            wait_ms: poll_time.as_millis() as u64,
         });
-        let answer = node.cluster.call(&request, ASK_TIME + hold, hold).await;
+        let answer = node
+            .cluster
+            .call(&request, REQUEST_TIMEOUT + poll_time, poll_time)
+            .await;
         match answer {
             Ok(answered) => {
                 if let CallsResponse::Leases(leases) = answered.response {
-                    *held.renewed.lock() = Some(started);
-                    node.runs.take_backlog(leases.backlog_slack_ms);
-                    take_in(&node, &held, &reporter, leases);
+                    *held.renewed_at.lock() = Some(started);
+                    node.runs.set_backlog_slack(leases.backlog_slack_ms);
+                    apply_leases(&node, &held, &reporter, leases);
                 }
-                sleep(REQUEST_PAUSE).await;
+                sleep(MIN_REQUEST_INTERVAL).await;
             }
-            Err(_) => sleep(LOST_PAUSE).await,
+            Err(_) => sleep(FAILED_REQUEST_DELAY).await,
         }
     }
 }
 
-/// Items that the node would take now; none while it stops.
-fn wanted(node: &Node) -> u32 {
-    if node.stopping.is_cancelled() || node.table().is_none() || node.calls_wait() {
+/// Returns the number of items to request now; 0 while the node is stopping, has no route table
+/// or has calls waiting.
+fn items_wanted(node: &Node) -> u32 {
+    if node.stopping.is_cancelled() || node.table().is_none() || node.has_waiting_calls() {
         return 0;
     }
     let nodes = node.known_state.cell_nodes.load(Ordering::Relaxed).max(1);
-    node.batch_capacity(nodes).items.min(TAKEN_AT_ONCE)
+    node.batch_capacity(nodes).items.min(MAX_ITEMS_PER_RESPONSE)
 }
 
-fn take_in(
+fn apply_leases(
     node: &Arc<Node>,
-    held: &Arc<Held>,
-    reporter: &reports::Reporter,
+    held: &Arc<HeldLeases>,
+    reporter: &reports::ReportSender,
     leases: LeaseResponse,
 ) {
     let mut tasks = held.tasks.lock();
     for item in &leases.stop {
-        // Dropping the task closes its connection to the worker.
+        // Dropping the handle aborts the task and closes its connection to the worker.
         if tasks.remove(item).is_some() {
             log::info!(event = "item_stopped", job:% = item.job, index = item.index; "");
         }
--- a/crates/pinerill-forward/src/batch/mod.rs
+++ b/crates/pinerill-forward/src/batch/mod.rs
@@ -1,9 +1,9 @@
-//! Leased items of jobs.
+//! Execution of leased job items on this node.
 //!
-//! `leases` renews what the node holds and takes more, `running` is an item that runs here, `item` runs one
-//! until it has an end, `reports` tells the ends to the leader. An item is held
-//! until its end is recorded. `preemption` says which running items give way to
-//! calls that wait.
+//! `leases` leases items from the leader and renews the leases, `running` holds the state of an
+//! item, `item` runs one item to its end, and `reports` sends the results to the leader. An item
+//! stays leased until its result is recorded. `preemption` selects the running items that yield
+//! their slots to waiting calls, and `runs` stops them.
 
 mod item;
 mod leases;
@@ -12,5 +12,5 @@
 mod running;
 mod runs;
 
-pub(crate) use leases::{give_back, run};
+pub(crate) use leases::{release_all, run};
 pub(crate) use runs::ItemRuns;
--- a/crates/pinerill-forward/src/batch/reports.rs
+++ b/crates/pinerill-forward/src/batch/reports.rs
@@ -1,4 +1,6 @@
-//! Tells the ends of items to the leader, again until they are recorded.
+//! Sends the results of items to the leader and retries until they are recorded.
+//!
+//! An item is released only after its result is recorded or rejected as invalid.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,48 +10,51 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-use super::leases::Held;
+use super::leases::HeldLeases;
 use crate::node::Node;
 
-/// Where items tell their ends.
-pub(super) type Reporter = mpsc::UnboundedSender<ItemReport>;
+/// Channel through which item tasks submit their results.
+pub(super) type ReportSender = mpsc::UnboundedSender<ItemReport>;
 
-/// Reports in one message.
-const REPORTS_AT_ONCE: usize = 64;
-/// How long the first report of a message waits for others.
-const GATHER_TIME: Duration = Duration::from_millis(20);
-/// How long the node asks around for one message.
-const ASK_TIME: Duration = Duration::from_secs(5);
-/// Pause before a message is sent again.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Maximum number of results in one message.
+const MAX_REPORTS_PER_MESSAGE: usize = 64;
+/// Time that the first result of a message waits for further ones.
+const GATHERING_DELAY: Duration = Duration::from_millis(20);
+/// Time to find a control machine that accepts a message, per attempt.
+const SEND_TIMEOUT: Duration = Duration::from_secs(5);
+/// Delay before a failed message is sent again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Reports until the last sender is gone. The number of reports that wait is
-/// bounded by the number of items that are held.
+/// Sends results until all senders are dropped. The channel needs no capacity limit: it holds at
+/// most one result per leased item.
 pub(super) async fn run(
     node: Arc<Node>,
-    held: Arc<Held>,
-    mut ended: mpsc::UnboundedReceiver<ItemReport>,
+    held: Arc<HeldLeases>,
+    mut received: mpsc::UnboundedReceiver<ItemReport>,
 ) {
     let mut reports = Vec::new();
-    while let Some(first) = ended.recv().await {
+    while let Some(first) = received.recv().await {
         reports.push(first);
-        sleep(GATHER_TIME).await;
-        while reports.len() < REPORTS_AT_ONCE {
-            let Ok(next) = ended.try_recv() else { break };
+        sleep(GATHERING_DELAY).await;
+        while reports.len() < MAX_REPORTS_PER_MESSAGE {
+            let Ok(next) = received.try_recv() else { break };
             reports.push(next);
         }
-        tell(&node, &reports).await;
+        send_reports(&node, &reports).await;
         for report in reports.drain(..) {
             held.release(&report.item);
         }
     }
 }
 
-async fn tell(node: &Node, reports: &[ItemReport]) {
+async fn send_reports(node: &Node, reports: &[ItemReport]) {
     let request = CallsRequest::ReportItems(reports.to_vec());
     loop {
-        let told = node.cluster.call(&request, ASK_TIME, Duration::ZERO).await;
-        match told {
+        let result = node
+            .cluster
+            .call(&request, SEND_TIMEOUT, Duration::ZERO)
+            .await;
+        match result {
             Ok(_) => return,
             Err(failure) if failure.invalid => {
                 log::error!(event = "reports_refused", reason = failure.message.as_str(); "");
@@ -57,7 +62,7 @@
             }
             Err(failure) => {
                 log::warn!(event = "reports_wait", reason = failure.message.as_str(); "");
-                sleep(RETRY_PAUSE).await;
+                sleep(RETRY_INTERVAL).await;
             }
         }
     }
--- a/crates/pinerill-forward/src/batch/running.rs
+++ b/crates/pinerill-forward/src/batch/running.rs
@@ -1,4 +1,4 @@
-//! An item that runs here, and how it comes to do so.
+//! The state of a leased item on this node, and its preparation from the item's stored call.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,43 +18,44 @@
 use crate::fleet::Prompt;
 use crate::node::Node;
 
-/// Longest wait for an item's call.
-const FETCH_TIME: Duration = Duration::from_secs(2);
+/// Time limit for fetching an item's call.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An item with what has arrived of it.
-pub(super) struct Running {
+/// A leased item with its request and the progress of its runs.
+pub(super) struct ActiveItem {
     pub(super) leased: LeasedItem,
     pub(super) service: String,
-    /// Regions in which it may run.
+    /// Regions in which the item may run.
     pub(super) homes: Homes,
     pub(super) headers: Vec<Header>,
     pub(super) identity: Arc<RequestIdentity>,
     pub(super) request: WorkerRequest,
     pub(super) prompt: Prompt,
     pub(super) text: EventText,
-    pub(super) last: Option<u64>,
-    /// The worker that broke it off last.
+    pub(super) last_event: Option<u64>,
+    /// Worker of the last broken attempt, which the next attempt avoids; empty if there is none.
     pub(super) avoid: Vec<WorkerId>,
     pub(super) attempts: u32,
-    /// Runs though it was known to crash workers.
+    /// Number of trial runs made although the request is known to crash workers.
     pub(super) trials: u32,
-    /// It may run once more though it is.
+    /// Whether the next attempt is a trial run that ignores the block on the request.
     pub(super) on_trial: bool,
-    /// Time that it has run at workers.
-    pub(super) ran: Duration,
-    /// When its result is due, on the node's clock, milliseconds.
+    /// Total time that the item has run at workers.
+    pub(super) time_run: Duration,
+    /// Due time of the result in milliseconds on the node's clock.
     pub(super) due_ms: i64,
-    /// When it gave way, until the next event after that.
-    pub(super) gave_way: Option<BootTime>,
-    /// How often it gave way.
-    pub(super) times_given_way: u32,
-    /// Length of the text, and of what is kept of it.
+    /// Time of the first preemption since the last event; None once another event has arrived.
+    pub(super) interrupted_at: Option<BootTime>,
+    /// Number of times that the item was preempted.
+    pub(super) preemptions: u32,
+    /// Length of the completed text and of its compressed form, in bytes.
     pub(super) bytes: (usize, usize),
 }
 
-/// What it takes to run a leased item; none if it can't be run here.
-pub(super) async fn begin(node: &Node, leased: LeasedItem) -> Option<Running> {
-    let call = fetch(node, &leased).await?;
+/// Fetches the call of a leased item and looks up its route. Returns None if the call cannot be
+/// fetched or decoded, or if no route of this node's table matches it.
+pub(super) async fn prepare(node: &Node, leased: LeasedItem) -> Option<ActiveItem> {
+    let call = fetch_call(node, &leased).await?;
     let uri: Uri = call.path.parse().ok()?;
     let table = node.table()?;
     let route = table.route(&leased.host, uri.path())?;
@@ -72,7 +73,7 @@
         body.clone(),
     );
     let tenant = leased.item.job.tenant();
-    Some(Running {
+    Some(ActiveItem {
         homes: table.homes_of(route, tenant),
         identity: Arc::new(identity),
         service,
@@ -86,15 +87,15 @@
         headers: call.headers,
         leased,
         text: EventText::default(),
-        last: None,
+        last_event: None,
         avoid: Vec::new(),
         attempts: 0,
         trials: 0,
         on_trial: false,
-        ran: Duration::ZERO,
+        time_run: Duration::ZERO,
         due_ms,
-        gave_way: None,
-        times_given_way: 0,
+        interrupted_at: None,
+        preemptions: 0,
         bytes: (0, 0),
     })
 }
@@ -105,16 +106,16 @@
     HeaderValue::from_str(&header.value).ok()
 }
 
-/// The item's call, from a control machine of this zone if there is one: they
-/// all hold it, and bytes between zones are dear.
-async fn fetch(node: &Node, leased: &LeasedItem) -> Option<ItemCall> {
+/// Fetches the item's call, preferably from a control machine of this zone: all of them store
+/// it, and traffic between zones is expensive. Returns None if it is missing or unreadable.
+async fn fetch_call(node: &Node, leased: &LeasedItem) -> Option<ItemCall> {
     let request = CallsRequest::ReadItem(ReadItem {
         job: leased.item.job.clone(),
         item: leased.id.clone(),
     });
     let answer = node
         .cluster
-        .call_near(&request, FETCH_TIME, Duration::ZERO)
+        .call_near(&request, FETCH_TIMEOUT, Duration::ZERO)
         .await;
     let CallsResponse::Item(Some(call)) = answer.ok()?.response else {
         return None;
--- a/crates/pinerill-forward/src/batch/runs.rs
+++ b/crates/pinerill-forward/src/batch/runs.rs
@@ -1,4 +1,5 @@
-//! The runs of items at this node, and how they are told to give way.
+//! The runs of items on this node. `item` registers each run here, and `dispatch` preempts runs
+//! when calls wait for slots.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,25 +10,25 @@
 
 use super::preemption::{Preemption, RunId, RunningItem};
 
-/// Pause between two log lines on items that keep their places, milliseconds.
-const KEPT_TOLD_PAUSE_MS: u64 = 200;
+/// Minimum interval, in milliseconds, between two log lines about a preemption that freed no slot.
+const NO_PREEMPTION_LOG_INTERVAL_MS: u64 = 200;
 
 #[derive(Default)]
-struct State {
+struct RunsState {
     preemption: Preemption,
-    /// Tells a run to end.
-    enders: HashMap<RunId, oneshot::Sender<()>>,
-    /// When it was last told that items keep their places, on the node's clock.
-    kept_told_ms: u64,
+    /// Channels that signal runs to stop.
+    stop_senders: HashMap<RunId, oneshot::Sender<()>>,
+    /// Time of the last such log line in milliseconds on the node's clock; 0 before the first.
+    no_preemption_logged_ms: u64,
 }
 
-impl State {
-    /// Logs why no item gives way, once in a while.
-    fn tell_kept(&mut self, now_ms: u64, service: &str, calls: usize) {
-        if now_ms < self.kept_told_ms + KEPT_TOLD_PAUSE_MS {
+impl RunsState {
+    /// Logs why no item was preempted, at most once per `NO_PREEMPTION_LOG_INTERVAL_MS`.
+    fn log_no_preemption(&mut self, now_ms: u64, service: &str, calls: usize) {
+        if now_ms < self.no_preemption_logged_ms + NO_PREEMPTION_LOG_INTERVAL_MS {
             return;
         }
-        self.kept_told_ms = now_ms;
+        self.no_preemption_logged_ms = now_ms;
         let basis = self.preemption.basis(now_ms);
         log::info!(
             event = "items_keep_places", service, calls, running = basis.running,
@@ -37,80 +38,81 @@
     }
 }
 
-/// All runs of a node.
+/// The current runs of items on a node, and the estimates that preemption is based on.
 #[derive(Default)]
 pub(crate) struct ItemRuns {
-    state: Mutex<State>,
+    state: Mutex<RunsState>,
 }
 
-/// One run; taken off when dropped.
-pub(super) struct Run {
+/// Registration of one run, removed when dropped.
+pub(super) struct ItemRun {
     runs: Arc<ItemRuns>,
     id: RunId,
-    /// Completes once the run is to end.
-    pub(super) gives_way: oneshot::Receiver<()>,
+    /// Receives a value when the run is preempted.
+    pub(super) preempted: oneshot::Receiver<()>,
 }
 
 impl ItemRuns {
-    /// An item begins to run or goes on.
-    pub(super) fn begin(self: &Arc<Self>, item: RunningItem) -> Run {
-        let (ender, gives_way) = oneshot::channel();
+    /// Registers the start of a run of an item, be it the first or a later one.
+    pub(super) fn begin(self: &Arc<Self>, item: RunningItem) -> ItemRun {
+        let (stop_sender, preempted) = oneshot::channel();
         let mut state = self.state.lock();
         let id = state.preemption.begin(item);
-        state.enders.insert(id, ender);
-        Run {
+        state.stop_senders.insert(id, stop_sender);
+        ItemRun {
             runs: self.clone(),
             id,
-            gives_way,
+            preempted,
         }
     }
 
-    /// Ends runs for calls that wait for places of a service.
+    /// Preempts up to `calls` runs for calls that wait for a slot of `service`.
     pub(crate) fn preempt(&self, now_ms: u64, service: &str, calls: usize) {
         let mut state = self.state.lock();
         let ended = state.preemption.preempt(now_ms, service, calls);
         for run in &ended {
-            if let Some(ender) = state.enders.remove(run) {
-                // A run that has just ended by itself needs no word.
-                let _ = ender.send(());
+            if let Some(stop_sender) = state.stop_senders.remove(run) {
+                // Sending fails only if the run has just ended by itself.
+                let _ = stop_sender.send(());
             }
         }
         if ended.is_empty() {
-            state.tell_kept(now_ms, service, calls);
+            state.log_no_preemption(now_ms, service, calls);
         }
     }
 
-    /// Items that could give way now, by service.
+    /// Returns the number of items that could be preempted now, by service.
     pub(crate) fn preemptible(&self, now_ms: u64) -> HashMap<String, usize> {
         self.state.lock().preemption.preemptible(now_ms)
     }
 
-    /// A whole item took so long at workers.
-    pub(super) fn item_ended(&self, time: Duration) {
-        self.state.lock().preemption.item_ended(time);
+    /// Records the total time that a completed item ran at workers.
+    pub(super) fn record_run_time(&self, time: Duration) {
+        self.state.lock().preemption.record_run_time(time);
     }
 
-    /// An item that gave way has its next event after this time.
-    pub(super) fn resumed(&self, time: Duration) {
-        self.state.lock().preemption.resumed(time);
+    /// Records the time from a preemption to the item's next event.
+    pub(super) fn record_interruption(&self, time: Duration) {
+        self.state.lock().preemption.record_interruption(time);
     }
 
-    /// Time at workers that an item seldom exceeds, milliseconds; 0 if not known.
-    pub(super) fn longest_ms(&self) -> u64 {
+    /// Returns the total run time, in milliseconds, that an item rarely exceeds; 0 if unknown.
+    pub(super) fn longest_run_ms(&self) -> u64 {
         let longest = self.state.lock().preemption.run_time().longest_ms();
         longest.map_or(0, |ms| ms as u64)
     }
 
-    /// The leader tells the slack of what waits there.
-    pub(super) fn take_backlog(&self, slack_ms: Option<i64>) {
-        self.state.lock().preemption.take_backlog(slack_ms);
+    /// Sets the smallest slack, in milliseconds, of the items queued at the leader; None if no queued
+    /// item can be on time.
+    pub(super) fn set_backlog_slack(&self, slack_ms: Option<i64>) {
+        self.state.lock().preemption.set_backlog_slack(slack_ms);
     }
 }
 
-impl Drop for Run {
+impl Drop for ItemRun {
     fn drop(&mut self) {
         let mut state = self.runs.state.lock();
         state.preemption.end(self.id);
-        state.enders.remove(&self.id);
+        state.stop_senders.remove(&self.id);
     }
 }
--- a/crates/pinerill-forward/src/lib.rs
+++ b/crates/pinerill-forward/src/lib.rs
@@ -1,14 +1,15 @@
-//! Nodes that forward calls.
+//! Nodes, which forward calls to workers.
 //!
-//! A call's way, top to bottom: [`gateway`] reads its head, finds its route
-//! and admits it; [`call`] runs it: [`dispatch`] finds a place for it at a
-//! worker that [`fleet`] chooses, `confirmation` makes sure that the worker stays, [`exchange`] sends it there and reads the answer, [`call::decision`] says what follows,
-//! and the answer or its events go back to the caller. [`batch`] runs leased
-//! items of jobs over the same fleet and exchange. [`cluster`] keeps the route
-//! table and the directory of workers up to date. [`crash`] keeps requests that crash workers from running on.
+//! A call passes through these modules: [`gateway`] reads its head, matches its route and admits
+//! it. [`call`] then makes attempts: [`dispatch`] queues the call until a worker chosen by
+//! [`fleet`] has a free slot, `confirmation` checks that the worker is still there, [`exchange`]
+//! sends the request and reads the response, and [`call::decision`] decides whether to retry. The
+//! response or its events go back to the caller. [`batch`] runs leased items of jobs over the same
+//! fleet and exchange. [`cluster`] keeps the route table and the directory of workers up to date.
+//! [`crash`] blocks requests that repeatedly crash workers.
 //!
-//! Decisions (choice of worker, what follows an attempt, the order of events,
-//! how many items to take) are pure; the rest feeds them.
+//! Decisions (the choice of a worker, the step after an attempt, the order of events, the number
+//! of items to lease) are made by code without I/O; the other code supplies its inputs.
 
 pub mod batch;
 pub mod call;
--- a/crates/pinerill-forward/src/monitoring.rs
+++ b/crates/pinerill-forward/src/monitoring.rs
@@ -1,4 +1,4 @@
-//! Metrics and readiness of a node.
+//! Metrics and readiness of a node, and those parts of its known state that are single values.
 
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64};
 use std::time::Duration;
@@ -15,13 +15,13 @@
 
 use crate::node::Node;
 
-/// Bounds of latency histograms, seconds: from a fast first event to the
-/// longest that callers wait.
+/// Bucket bounds of latency histograms in seconds, from a fast first event to the longest time
+/// that callers wait.
 const LATENCY_BUCKETS: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 0.8, 1.2, 2.5, 5.0,
 ];
 
-/// What a node counts and measures.
+/// The Prometheus metrics of a node.
 pub(crate) struct Metrics {
     registry: Registry,
     pub(crate) requests: IntCounter,
@@ -30,7 +30,7 @@
     quota_refusals: IntCounterVec,
     first_event: HistogramVec,
     gap: HistogramVec,
-    whole: HistogramVec,
+    call_duration: HistogramVec,
     pub(crate) worker_failures: IntCounter,
     pub(crate) worker_refusals: IntCounter,
     pub(crate) health_checks: IntCounter,
@@ -51,31 +51,32 @@
     idle_connections: IntGauge,
 }
 
-/// Beliefs of a node that are single numbers.
+/// Single values that a node knows about the cluster.
 #[derive(Debug, Default)]
 pub(crate) struct KnownState {
-    /// Nodes that watch, as the leader tells.
+    /// Number of nodes that watch the leader, as reported by the leader; 0 before its first report.
     pub(crate) nodes: AtomicU32,
-    /// Nodes of this one's cell, as the leader tells.
+    /// Number of nodes in this node's cell, as reported by the leader; 0 before its first report.
     pub(crate) cell_nodes: AtomicU32,
-    /// The cell that this node is in; none before the leader told.
+    /// Cell of this node; None before the leader's first report.
     pub(crate) cell: Mutex<Option<CellId>>,
-    /// When a control machine last answered, on the node's clock.
+    /// Time of the last response of a control machine in milliseconds on the node's clock; 0 before
+    /// the first.
     pub(crate) last_control_answer_ms: AtomicU64,
-    /// Something else than the leader has said since which workers or control machines
-    /// there are, so that the leader must tell all of it again.
+    /// Whether the node must request the full state from the leader, because a source other than the
+    /// leader has changed the known workers or control machines, or the machine was suspended.
     pub(crate) needs_full_update: AtomicBool,
-    /// The leader answers and does not tell how old its directory is: it is of an older build.
+    /// Whether the leader's responses lack the age of its directory, as those of older builds do.
     pub(crate) undated: AtomicBool,
-    /// It was just found that it does not.
+    /// Notified when `undated` changes.
     pub(crate) undated_detected: Notify,
 }
 
 impl Metrics {
-    /// Metrics in a registry of their own.
+    /// Creates the metrics in a separate registry.
     ///
     /// # Errors
-    /// When two have the same name.
+    /// Returns an error if two metrics have the same name.
     pub(crate) fn new() -> prometheus::Result<Self> {
         let registry = Registry::new();
         let counter = |name: &str, help: &str| {
@@ -126,7 +127,7 @@
                 "Time between two events of a call",
                 &["kind"],
             )?,
-            whole: histogram(
+            call_duration: histogram(
                 "pinerill_node_call_seconds",
                 "Time from a call's arrival to its end, by outcome",
                 &["kind", "outcome"],
@@ -229,7 +230,7 @@
 
     pub(crate) fn call_ended(&self, kind: &str, outcome: &str, time: Duration) {
         self.calls.with_label_values(&[kind, outcome]).inc();
-        let histogram = self.whole.with_label_values(&[kind, outcome]);
+        let histogram = self.call_duration.with_label_values(&[kind, outcome]);
         histogram.observe(time.as_secs_f64());
     }
 
--- a/crates/pinerill-forward/src/node.rs
+++ b/crates/pinerill-forward/src/node.rs
@@ -1,4 +1,6 @@
-//! What the parts of a node share.
+//! State shared by the modules of a node.
+//!
+//! All servers and background tasks that `run` starts hold an `Arc<Node>`.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -28,34 +30,34 @@
 use crate::slow_start::SlowStartDemand;
 use crate::waking::ResumeGate;
 
-/// Part of the time for a planned stop in which calls are still taken: callers
-/// need some seconds to learn of it.
-const TAKING_PART: f64 = 0.35;
+/// Share of the configured stop time in which new calls are still admitted, because it takes some
+/// seconds until callers know that the node is stopping.
+const ADMISSION_SHARE: f64 = 0.35;
 
-/// Time after its start in which a node holds calls until it has a route table: a cluster
-/// whose processes all start at once has a leader and a table after some 0.4 s, and a node
-/// that has none after this time can't say when it will. Their bodies are not read yet.
-const STARTING_TIME: Duration = Duration::from_millis(1_200);
-/// Calls held so at most; the rest is refused at once. A burst brings a node some 10 a
-/// second here.
-const CALLS_HELD_AT_START: usize = 64;
+/// Time after the node's start until which calls wait for the first route table, with their bodies
+/// still unread. A cluster whose processes all start at once has a leader and a table after about
+/// 0.4 s. A node without a table after this time cannot estimate when it will get one.
+const FIRST_TABLE_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Maximum number of calls that wait for the first route table; further calls are rejected at
+/// once. A node receives about 10 calls per second in a burst.
+const MAX_CALLS_WAITING_FOR_TABLE: usize = 64;
 
-/// Pause between two looks whether the leader has answered after a suspension.
-const WAKING_LOOK_PAUSE: Duration = Duration::from_millis(10);
+/// Interval between two checks whether the known state was refreshed after a suspension.
+const REFRESH_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A node.
+/// A node: its settings, its known state, and its connections to workers, peers and the leader.
 pub struct Node {
     pub(crate) settings: NodeSettings,
-    /// The node in this start of its process.
+    /// Identifies this run of the node's process: the node's name and a random number.
     pub(crate) incarnation: String,
     pub(crate) caller_protocol: Arc<dyn CallerProtocol>,
     worker_protocol: Arc<dyn WorkerProtocol>,
     pub(crate) cluster: ClusterClient,
     pub(crate) peers: Peers,
     table: RwLock<Option<Arc<RouteIndex>>>,
-    table_taken: Notify,
-    /// Calls that may wait for the first table.
-    starting: Semaphore,
+    table_installed: Notify,
+    /// Limits the number of calls that wait for the first route table.
+    first_table_permits: Semaphore,
     fleet: Mutex<Fleet>,
     connections: Arc<ConnectionPool>,
     pub(crate) dispatcher: Dispatcher,
@@ -69,11 +71,11 @@
     pub(crate) known_state: KnownState,
     started: BootTime,
     pub(crate) stopping: CancellationToken,
-    /// When it began to stop, on its clock; 0 before.
-    stop_began_ms: AtomicU64,
+    /// Time at which the node began to stop in milliseconds on its clock; 0 before.
+    stop_started_ms: AtomicU64,
 }
 
-/// What a node is made of.
+/// Arguments of [`Node::new`].
 pub(crate) struct NodeParts {
     pub(crate) settings: NodeSettings,
     pub(crate) incarnation: String,
@@ -96,8 +98,8 @@
             cluster: parts.cluster,
             peers: parts.peers,
             table: RwLock::new(None),
-            table_taken: Notify::new(),
-            starting: Semaphore::new(CALLS_HELD_AT_START),
+            table_installed: Notify::new(),
+            first_table_permits: Semaphore::new(MAX_CALLS_WAITING_FOR_TABLE),
             fleet: Mutex::new(parts.fleet),
             connections: Arc::default(),
             dispatcher: Dispatcher::default(),
@@ -111,35 +113,35 @@
             known_state: KnownState::default(),
             started: BootTime::now(),
             stopping: parts.stopping,
-            stop_began_ms: AtomicU64::new(0),
+            stop_started_ms: AtomicU64::new(0),
         }
     }
 
-    /// Notes that the node begins to stop.
+    /// Records that the node begins to stop.
     pub(crate) fn begin_stop(&self) {
         let now_ms = self.now_ms().max(1);
-        self.stop_began_ms.store(now_ms, Ordering::Relaxed);
+        self.stop_started_ms.store(now_ms, Ordering::Relaxed);
     }
 
-    /// Whether it stops and a call that came now could not end in time.
+    /// Returns whether the node is stopping and a call that arrives now could not end in time.
     pub(crate) fn rejects_new_calls(&self) -> bool {
-        let began_ms = self.stop_began_ms.load(Ordering::Relaxed);
-        let taking_ms = self.settings.stop_s * TAKING_PART * 1_000.0;
-        began_ms > 0 && (self.now_ms() - began_ms) as f64 > taking_ms
+        let started_ms = self.stop_started_ms.load(Ordering::Relaxed);
+        let admission_ms = self.settings.stop_s * ADMISSION_SHARE * 1_000.0;
+        started_ms > 0 && (self.now_ms() - started_ms) as f64 > admission_ms
     }
 
-    /// Milliseconds of a steady clock.
+    /// Returns the milliseconds since this node started, including suspensions of the machine.
     pub fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
-    /// A moment on the node's clock, milliseconds.
+    /// Converts a time to milliseconds on the node's clock.
     pub(crate) fn ms_at(&self, moment: BootTime) -> u64 {
         (moment - self.started).as_millis() as u64
     }
 
-    /// Age of the reading of the platform list that the directory of workers goes by,
-    /// milliseconds; the age of this process before the first.
+    /// Returns the age, in milliseconds, of the platform list that the directory of workers is based
+    /// on; the time since the node started if there is no list yet.
     pub fn directory_age_ms(&self) -> u64 {
         self.with_fleet(|fleet, now_ms| {
             let listed_ms = fleet.listed_ms().unwrap_or(0);
@@ -147,53 +149,56 @@
         })
     }
 
-    /// Time since a control machine answered, milliseconds.
+    /// Returns the milliseconds since the last response of a control machine, or since the node
+    /// started if there was none.
     pub(crate) fn control_silent_ms(&self) -> u64 {
-        let heard_ms = self
+        let answered_ms = self
             .known_state
             .last_control_answer_ms
             .load(Ordering::Relaxed);
-        self.now_ms().saturating_sub(heard_ms)
+        self.now_ms().saturating_sub(answered_ms)
     }
 
-    /// How workers are spoken to.
+    /// Returns the protocol spoken with workers.
     pub fn worker_protocol(&self) -> &dyn WorkerProtocol {
         self.worker_protocol.as_ref()
     }
 
-    /// Idle connections to workers.
+    /// Returns the pool of connections to workers.
     pub fn connections(&self) -> &Arc<ConnectionPool> {
         &self.connections
     }
 
-    /// The route table in force here; none before the first.
+    /// Returns the current route table; None before the first.
     pub fn table(&self) -> Option<Arc<RouteIndex>> {
         self.table.read().clone()
     }
 
-    /// The route table in force here. A node that has just started waits for its first one
-    /// for a moment, unless too many calls do so already.
+    /// Returns the current route table. If there is none, waits until `FIRST_TABLE_TIMEOUT` after the
+    /// node's start. Returns None if no table arrives by then, or at once if too many calls wait
+    /// already.
     pub(crate) async fn first_table(&self) -> Option<Arc<RouteIndex>> {
         if let Some(table) = self.table() {
             return Some(table);
         }
-        let _held = self.starting.try_acquire().ok()?;
-        let until = self.started + STARTING_TIME;
+        let _permit = self.first_table_permits.try_acquire().ok()?;
+        let until = self.started + FIRST_TABLE_TIMEOUT;
         loop {
-            let taken = self.table_taken.notified();
+            let installed = self.table_installed.notified();
             if let Some(table) = self.table() {
                 return Some(table);
             }
-            timeout_at(until, taken).await.ok()?;
+            timeout_at(until, installed).await.ok()?;
         }
     }
 
-    /// Looks whether the machine was suspended, and says so.
-    pub(crate) fn look_at_clocks(&self) {
+    /// Checks whether the machine was suspended. If so, logs it and has the full state requested from
+    /// the leader.
+    pub(crate) fn check_suspension(&self) {
         let Some(suspended) = self.waking.check_clocks() else {
             return;
         };
-        // The leader shall tell all of it again.
+        // The next request to the leader asks for the full state.
         self.known_state
             .needs_full_update
             .store(true, Ordering::Relaxed);
@@ -203,51 +208,54 @@
         );
     }
 
-    /// Waits while what is believed is as old as before a suspension of the machine.
+    /// Waits while the known state dates from before a suspension of the machine, up to the limit set
+    /// by [`ResumeGate`].
     pub(crate) async fn wait_for_refresh(&self) {
-        self.look_at_clocks();
+        self.check_suspension();
         while let Some(left) = self.waking.remaining_hold() {
-            sleep(left.min(WAKING_LOOK_PAUSE)).await;
+            sleep(left.min(REFRESH_CHECK_INTERVAL)).await;
         }
     }
 
-    /// Takes in a route table unless one as new is in force.
+    /// Replaces the route table if `index` has a higher version. Returns whether it did.
     pub(crate) fn install_table(&self, index: RouteIndex) -> bool {
-        let mut held = self.table.write();
+        let mut current = self.table.write();
         let version = index.table().version;
-        let newer = held
+        let newer = current
             .as_ref()
             .is_none_or(|known| known.table().version < version);
         if newer {
             self.with_fleet(|fleet, _| fleet.take_slow_starts(index.table()));
-            *held = Some(Arc::new(index));
-            self.table_taken.notify_waiters();
+            *current = Some(Arc::new(index));
+            self.table_installed.notify_waiters();
         }
         newer
     }
 
-    /// Looks at the workers.
-    pub(crate) fn with_fleet<R>(&self, look: impl FnOnce(&mut Fleet, u64) -> R) -> R {
+    /// Locks the fleet and calls `operation` with it and the current time in milliseconds on the
+    /// node's clock.
+    pub(crate) fn with_fleet<R>(&self, operation: impl FnOnce(&mut Fleet, u64) -> R) -> R {
         let now_ms = self.now_ms();
-        look(&mut self.fleet.lock(), now_ms)
+        operation(&mut self.fleet.lock(), now_ms)
     }
 
-    /// The worker for an item of a job.
+    /// Chooses a worker for an item of a job. Returns None if no suitable worker has a free slot.
     pub fn choose_for_item(&self, wanted: &Wanted<'_>) -> Option<Chosen> {
         self.with_fleet(|fleet, now_ms| fleet.choose_for_item(now_ms, wanted))
     }
 
-    /// Items of jobs that may begin here.
+    /// Returns how many items of jobs this node may start now, if `nodes` nodes share the workers.
     pub fn batch_capacity(&self, nodes: u32) -> BatchCapacity {
         self.with_fleet(|fleet, now_ms| fleet.batch_capacity(now_ms, nodes))
     }
 
-    /// Whether calls wait for places here or at other nodes of the zone.
-    pub(crate) fn calls_wait(&self) -> bool {
+    /// Returns whether calls wait for slots at this node or at other nodes of the zone.
+    pub(crate) fn has_waiting_calls(&self) -> bool {
         self.dispatcher.waiting() > 0 || self.dispatcher.peers_have_waiting_calls(self.now_ms())
     }
 
-    /// Takes a place at a worker.
+    /// Occupies a slot of a worker and informs the peers. The slot is released when the returned
+    /// value is dropped.
     pub fn occupy_slot(self: &Arc<Self>, chosen: &Chosen, prompt: &Prompt) -> OccupiedSlot {
         let worker = chosen.entry.id.clone();
         let permit = self.with_fleet(|fleet, now_ms| {
@@ -263,12 +271,13 @@
         }
     }
 
-    /// Takes in a load sample of an answer.
+    /// Records a load sample from a worker's response.
     pub fn record_load(&self, worker: &str, load: LoadSample) {
         self.with_fleet(|fleet, now_ms| fleet.take_load(now_ms, worker, load));
     }
 
-    /// Notes that a worker could not be reached, broke off or was silent.
+    /// Records that an attempt failed because the worker was unreachable, closed the connection or
+    /// timed out. Ignores reasons that are not the worker's failure.
     pub fn worker_failed(&self, worker: &str, reason: &BreakReason) {
         if !reason.is_failure() {
             return;
@@ -287,13 +296,14 @@
         self.with_fleet(|fleet, now_ms| fleet.failed(now_ms, worker));
     }
 
-    /// Notes that a worker had no room.
+    /// Records that a worker rejected a request because it had no free slot.
     pub fn worker_full(&self, worker: &str) {
         self.metrics.worker_refusals.inc();
         self.with_fleet(|fleet, now_ms| fleet.was_full(now_ms, worker));
     }
 
-    /// A worker's process is gone; whether it crashed depends on what it was doing.
+    /// Reports that a worker's process has ended. The crash ledger decides from the runs in flight
+    /// there whether it crashed.
     fn worker_is_gone(&self, worker: &str, evidence: CrashEvidence) {
         let entry = self.with_fleet(|fleet, _| Some(fleet.worker(worker)?.entry().clone()));
         if let Some(entry) = entry {
@@ -301,7 +311,7 @@
         }
     }
 
-    /// Notes that another worker answers at this one's address.
+    /// Records that a different worker responds at the address of this worker.
     pub fn worker_replaced(&self, worker: &str) {
         log::info!(event = "worker_replaced", worker; "");
         self.worker_is_gone(worker, CrashEvidence::Replaced);
@@ -309,7 +319,7 @@
     }
 }
 
-/// A place at a worker, given up when dropped.
+/// An occupied slot of a worker, released when dropped.
 pub struct OccupiedSlot {
     node: Arc<Node>,
     worker: WorkerId,
@@ -317,17 +327,17 @@
 }
 
 impl OccupiedSlot {
-    /// The worker.
+    /// Returns the worker that the slot belongs to.
     pub fn worker(&self) -> &WorkerId {
         &self.worker
     }
 
-    /// What lets the request go to the worker while that is cold.
+    /// Returns the permit to send the request while the worker is in slow start, if one was taken.
     pub fn permit(&self) -> Option<SlowStartPermit> {
         self.permit
     }
 
-    /// The worker answered as it should.
+    /// Records that the worker responded correctly.
     pub fn succeeded(&self) {
         self.node
             .with_fleet(|fleet, now_ms| fleet.succeeded(now_ms, &self.worker));
--- a/crates/pinerill-forward/src/run.rs
+++ b/crates/pinerill-forward/src/run.rs
@@ -1,4 +1,7 @@
-//! Starts the parts of a node, and stops them in a planned way.
+//! Starts the servers and background tasks of a node and shuts them down gracefully.
+//!
+//! Called by the binary. After SIGTERM or SIGINT, calls and items in flight get most of the
+//! configured stop time to end; the leases of unfinished items are then released.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -25,25 +28,26 @@
 use crate::{batch, dispatch, gateway, quota, slow_start};
 use pinerill_calls::settings::{cluster_key, ForwardingSettings, NodeSettings, SettingsError};
 
-/// Part of the time for a planned stop that requests in flight get.
-const SERVING_PART: f64 = 0.93;
-/// Pause between two looks at idle connections.
-const SWEEP_PAUSE: Duration = Duration::from_millis(500);
+/// Share of the configured stop time in which requests in flight may end.
+const DRAIN_SHARE: f64 = 0.93;
+/// Interval between two removals of expired connections, peers and crash records.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How callers, workers and the platform list are spoken to.
+/// Protocols spoken with callers, with workers and with the platform list.
 pub struct NodeProtocols {
-    /// Callers.
+    /// Protocol of callers' requests and of the responses to them.
     pub callers: Arc<dyn CallerProtocol>,
-    /// Workers.
+    /// Protocol of requests to workers and of their responses.
     pub workers: Arc<dyn WorkerProtocol>,
-    /// The platform list.
+    /// Protocol for reading the platform's list of workers.
     pub worker_list: Arc<dyn WorkerListProtocol>,
 }
 
-/// Runs a node until SIGTERM or SIGINT.
+/// Runs a node until it has shut down after SIGTERM or SIGINT.
 ///
 /// # Errors
-/// When the settings can't be used or it can't start.
+/// Returns an error if the settings are invalid, a port cannot be bound, or another part of the
+/// node cannot start.
 pub async fn run(file: SettingsFile, protocols: NodeProtocols) -> anyhow::Result<()> {
     let settings = ForwardingSettings::read(file.text())?;
     let cluster = settings.cluster;
@@ -53,7 +57,7 @@
     let listener = TcpListener::bind(settings.listen)
         .await
         .with_context(|| format!("listen at {}", settings.listen))?;
-    let grace = Duration::from_secs_f64(settings.stop_s).mul_f64(SERVING_PART);
+    let grace = Duration::from_secs_f64(settings.stop_s).mul_f64(DRAIN_SHARE);
     let (ready_listen, admin) = (settings.ready_listen, settings.admin);
     let peers = Peers::listen(settings.peer_listen)
         .await
@@ -75,21 +79,21 @@
         address:% = node.settings.listen; ""
     );
     let spawn = |work| AbortOnDropHandle::<()>::new(tokio::spawn(work));
-    let following = spawn(boxed(cluster::follow(node.clone(), protocols.worker_list)));
+    let following_cluster = spawn(boxed(cluster::follow(node.clone(), protocols.worker_list)));
     let mut items = spawn(boxed(batch::run(node.clone())));
-    let reloading = spawn(boxed(follow_settings(node.clone(), file)));
-    let hearing = spawn(boxed(peers::hear(node.clone())));
-    let telling = spawn(boxed(peers::tell(node.clone())));
-    let telling_zones = spawn(boxed(peers::tell_zones(node.clone())));
-    let telling_crashes = spawn(boxed(peers::tell_crashes(node.clone())));
-    let placing = spawn(boxed(dispatch::run(node.clone())));
+    let reloading_settings = spawn(boxed(reload_settings(node.clone(), file)));
+    let receiving_from_peers = spawn(boxed(peers::hear(node.clone())));
+    let broadcasting = spawn(boxed(peers::tell(node.clone())));
+    let broadcasting_to_zones = spawn(boxed(peers::tell_zones(node.clone())));
+    let broadcasting_crashes = spawn(boxed(peers::tell_crashes(node.clone())));
+    let dispatching = spawn(boxed(dispatch::run(node.clone())));
     let borrowing = spawn(boxed(quota::borrow(node.clone())));
     let borrowing_slow_starts = spawn(boxed(slow_start::borrow(node.clone())));
-    let watching_clocks = spawn(boxed(watch_clocks(node.clone())));
+    let watching_suspensions = spawn(boxed(watch_for_suspensions(node.clone())));
     let sweeping = spawn(boxed(sweep(node.clone())));
     let ending = async {
         gateway::serve(node.clone(), listener, grace).await;
-        // Items end as callers' calls do, within the same time.
+        // Items in flight get the same time to end as calls.
         let _ = (&mut items).await;
     };
     let stop = async {
@@ -104,18 +108,18 @@
         () = signals.forced.cancelled() => log::warn!(event = "stopped_at_once"; ""),
     }
     drop(items);
-    batch::give_back(&node).await;
+    batch::release_all(&node).await;
     drop((
-        following,
-        hearing,
-        telling,
-        telling_zones,
-        telling_crashes,
-        placing,
+        following_cluster,
+        receiving_from_peers,
+        broadcasting,
+        broadcasting_to_zones,
+        broadcasting_crashes,
+        dispatching,
         borrowing,
         borrowing_slow_starts,
-        reloading,
-        watching_clocks,
+        reloading_settings,
+        watching_suspensions,
         sweeping,
     ));
     tokio::join!(probes.stop(), metrics.stop());
@@ -123,9 +127,9 @@
     Ok(())
 }
 
-type BoxedWork = std::pin::Pin<Box<dyn std::future::Future<Output = ()> + Send>>;
+type BoxedTask = std::pin::Pin<Box<dyn std::future::Future<Output = ()> + Send>>;
 
-fn boxed(work: impl std::future::Future<Output = ()> + Send + 'static) -> BoxedWork {
+fn boxed(work: impl std::future::Future<Output = ()> + Send + 'static) -> BoxedTask {
     Box::pin(work)
 }
 
@@ -156,9 +160,9 @@
     }))
 }
 
-/// Takes over other seeds of a settings file that changes. What else differs
-/// counts from the next start on.
-async fn follow_settings(node: Arc<Node>, mut file: SettingsFile) {
+/// Applies changes of the seed addresses whenever the settings file changes. All other settings
+/// take effect only after a restart.
+async fn reload_settings(node: Arc<Node>, mut file: SettingsFile) {
     loop {
         match ForwardingSettings::read(file.changed().await) {
             Ok(settings) => {
@@ -175,14 +179,15 @@
     }
 }
 
-/// Looks at the clocks again and again.
-async fn watch_clocks(node: Arc<Node>) {
-    watch_suspensions(|_| node.look_at_clocks()).await;
+/// Checks for suspensions of the machine as long as the node runs.
+async fn watch_for_suspensions(node: Arc<Node>) {
+    watch_suspensions(|_| node.check_suspension()).await;
 }
 
+/// Periodically removes expired connections, silent peers and old crash records.
 async fn sweep(node: Arc<Node>) {
     loop {
-        sleep(SWEEP_PAUSE).await;
+        sleep(SWEEP_INTERVAL).await;
         ConnectionPool::sweep(node.connections());
         node.with_fleet(|fleet, now_ms| fleet.forget_silent_peers(now_ms));
         node.forget_old_crashes();
--- a/crates/pinerill-forward/tests/preemption.rs
+++ b/crates/pinerill-forward/tests/preemption.rs
@@ -1,13 +1,13 @@
-//! Which items give way to calls that wait.
+//! Selection of the running items that are preempted for waiting calls.
 
 use std::time::Duration;
 
 use pinerill_forward::batch::preemption::{Preemption, RunId, RunningItem};
 use proptest::prelude::*;
 
-/// A time at which items have run for a while.
+/// Start time of all runs in these tests, in milliseconds.
 const NOW: u64 = 10_000;
-/// Time between two times at which items give way that is long enough.
+/// A time after the cooldown that follows a preemption at `NOW`.
 const LATER: u64 = NOW + 100;
 
 const NONE: [RunId; 0] = [];
@@ -22,11 +22,11 @@
     }
 }
 
-/// Items take 4 s each, always.
+/// Returns a state in which every completed item ran for exactly 4 s.
 fn items_of_four_seconds() -> Preemption {
     let mut preemption = Preemption::default();
     for _ in 0..60 {
-        preemption.item_ended(Duration::from_secs(4));
+        preemption.record_run_time(Duration::from_secs(4));
     }
     preemption
 }
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_item_with_the_most_slack_gives_way_first() {
+fn the_item_with_the_most_slack_is_preempted_first() {
     let mut preemption = items_of_four_seconds();
     let tight = begin(&mut preemption, 16_000);
     let loose = begin(&mut preemption, 30_000);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn no_more_items_give_way_than_calls_wait() {
+fn no_more_items_are_preempted_than_calls_wait() {
     let mut preemption = items_of_four_seconds();
     for _ in 0..5 {
         begin(&mut preemption, 30_000);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn calls_that_already_have_a_place_to_come_take_no_second_one() {
+fn calls_cause_no_second_preemption_during_the_cooldown() {
     let mut preemption = items_of_four_seconds();
     for _ in 0..5 {
         begin(&mut preemption, 30_000);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_item_gives_way_only_to_calls_of_its_service() {
+fn an_item_is_preempted_only_for_calls_of_its_service() {
     let mut preemption = items_of_four_seconds();
     let other = preemption.begin(item("other", 30_000));
     assert_eq!(preemption.preempt(NOW, "s", 3), NONE);
@@ -75,18 +75,18 @@
 }
 
 #[test]
-fn an_item_without_slack_keeps_its_place() {
+fn an_item_whose_slack_is_below_the_cost_keeps_its_slot() {
     let mut preemption = items_of_four_seconds();
-    // It takes 4 s and is due in 4.05 s; giving way usually costs 1 s.
+    // The item runs for 4 s and is due in 4.05 s; a preemption costs 1 s.
     for _ in 0..60 {
-        preemption.resumed(Duration::from_secs(1));
+        preemption.record_interruption(Duration::from_secs(1));
     }
     begin(&mut preemption, 14_050);
     assert_eq!(preemption.preempt(NOW, "s", 1), NONE);
 }
 
 #[test]
-fn an_item_that_will_be_late_anyway_gives_way_before_all_others() {
+fn an_item_that_will_be_late_anyway_is_preempted_first() {
     let mut preemption = items_of_four_seconds();
     begin(&mut preemption, 30_000);
     let late = begin(&mut preemption, 12_000);
@@ -94,35 +94,36 @@
 }
 
 #[test]
-fn items_keep_their_places_while_the_backlog_has_no_slack() {
+fn items_keep_their_slots_while_the_backlog_has_no_slack() {
     let mut preemption = items_of_four_seconds();
     let loose = begin(&mut preemption, 30_000);
-    preemption.take_backlog(Some(-1));
+    preemption.set_backlog_slack(Some(-1));
     assert_eq!(preemption.preempt(NOW, "s", 1), NONE);
-    preemption.take_backlog(None);
+    preemption.set_backlog_slack(None);
     assert_eq!(preemption.preempt(NOW, "s", 1), [loose]);
 }
 
 #[test]
-fn what_has_run_already_counts() {
+fn time_of_earlier_runs_counts_toward_the_run_time() {
     let mut preemption = items_of_four_seconds();
-    // Due in 3.5 s: late from the start, on time after 3 s of running elsewhere.
+    // Due in 3.5 s: late if it had to run for the whole 4 s, on time because it has already run
+    // for 3 s.
     let mut resumed = item("s", 13_500);
     resumed.ran_ms = 3_000.0;
     preemption.begin(resumed);
-    preemption.take_backlog(Some(-1));
+    preemption.set_backlog_slack(Some(-1));
     assert_eq!(preemption.preempt(NOW, "s", 1), NONE, "it is not late");
 }
 
 #[test]
-fn before_any_item_has_ended_half_of_its_time_is_taken() {
+fn without_samples_half_of_the_allowed_time_is_the_estimate() {
     let mut preemption = Preemption::default();
     let loose = begin(&mut preemption, NOW as i64 + 20_000);
     assert_eq!(preemption.preempt(NOW, "s", 1), [loose]);
 }
 
 #[test]
-fn an_item_that_has_ended_gives_no_way() {
+fn an_item_that_has_ended_is_not_preempted() {
     let mut preemption = items_of_four_seconds();
     let run = begin(&mut preemption, 30_000);
     preemption.end(run);
@@ -131,46 +132,46 @@
 }
 
 proptest! {
-    /// Of two items, the one with more slack never keeps its place while the other
-    /// one, which can still be on time, gives way.
+    /// Of two items that can be on time, the one with less slack is never preempted while the
+    /// other keeps its slot.
     #[test]
-    fn giving_way_is_monotone_in_slack(
+    fn preemption_is_monotone_in_slack(
         dues in proptest::collection::vec(14_100_i64..60_000, 1..30),
         calls in 0_usize..30,
         cost_ms in 0_u64..5_000,
     ) {
         let mut preemption = items_of_four_seconds();
         for _ in 0..60 {
-            preemption.resumed(Duration::from_millis(cost_ms));
+            preemption.record_interruption(Duration::from_millis(cost_ms));
         }
         let due_of: std::collections::HashMap<RunId, i64> = dues
             .iter()
             .map(|due_ms| (begin(&mut preemption, *due_ms), *due_ms))
             .collect();
-        let gave = preemption.preempt(NOW, "s", calls);
-        prop_assert!(gave.len() <= calls);
-        let least_given = gave.iter().map(|run| due_of[run]).min();
+        let preempted = preemption.preempt(NOW, "s", calls);
+        prop_assert!(preempted.len() <= calls);
+        let least_preempted = preempted.iter().map(|run| due_of[run]).min();
         let most_kept = due_of
             .iter()
-            .filter(|(run, _)| !gave.contains(run))
+            .filter(|(run, _)| !preempted.contains(run))
             .map(|(_, due_ms)| *due_ms)
             .max();
-        if let (Some(given), Some(kept)) = (least_given, most_kept) {
-            prop_assert!(given >= kept);
+        if let (Some(preempted_due), Some(kept_due)) = (least_preempted, most_kept) {
+            prop_assert!(preempted_due >= kept_due);
         }
-        prop_assert_eq!(preemption.running(), dues.len() - gave.len());
+        prop_assert_eq!(preemption.running(), dues.len() - preempted.len());
     }
 }
 
 #[test]
-fn the_items_that_could_give_way_are_counted_by_service() {
+fn preemptible_items_are_counted_by_service() {
     let mut preemption = items_of_four_seconds();
     begin(&mut preemption, NOW as i64 + 20_000);
     begin(&mut preemption, NOW as i64 + 20_000);
-    // This one is due as soon as it can be done.
+    // This item has no slack: it is due after exactly its run time.
     begin(&mut preemption, NOW as i64 + 4_000);
     preemption.begin(item("other", NOW as i64 + 20_000));
-    let yielding = preemption.preemptible(NOW);
-    assert_eq!(yielding.get("s"), Some(&2));
-    assert_eq!(yielding.get("other"), Some(&1));
+    let preemptible = preemption.preemptible(NOW);
+    assert_eq!(preemptible.get("s"), Some(&2));
+    assert_eq!(preemptible.get("other"), Some(&1));
 }
--- a/crates/pinerill-forward/tests/support/mod.rs
+++ b/crates/pinerill-forward/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Workers and services for tests.
+//! Directory entries and route tables shared by tests.
 
 #![allow(dead_code)]
 
@@ -7,7 +7,7 @@
 use pinerill_calls::directory::{WorkerEntry, WorkerId, WorkerState};
 use pinerill_calls::table::{RequestLimits, RouteTable, Service, SlowStart};
 
-/// A worker of four slots that is ready.
+/// Returns a ready worker with four slots in zone `za`.
 pub fn entry(id: WorkerId) -> WorkerEntry {
     WorkerEntry {
         id,
@@ -20,7 +20,7 @@
     }
 }
 
-/// The same in a zone.
+/// Returns a ready worker with four slots in the given zone.
 pub fn entry_in(zone: &str, name: &str) -> WorkerEntry {
     WorkerEntry {
         zone: zone.to_owned(),
@@ -28,7 +28,7 @@
     }
 }
 
-/// A table whose one service spares cold workers so.
+/// Returns a route table whose only service has the given slow start.
 pub fn table_with(slow_start: SlowStart) -> RouteTable {
     RouteTable {
         version: 1,
