--- a/crates/pinerill-forward/src/cluster/watch.rs
+++ b/crates/pinerill-forward/src/cluster/watch.rs
@@ -190,7 +190,7 @@
 fn note_dated(node: &Node, is_dated: bool) {
     if node.known_state.undated.swap(!is_dated, Ordering::Relaxed) == is_dated {
         log::info!(event = "directory_dated", dated = is_dated; "");
-        node.known_state.undated_detected.notify_one();
+        node.known_state.undated_changed.notify_one();
     }
 }
 
@@ -353,7 +353,7 @@
         tokio::select! {
             () = paused => {}
             // Nothing is known of the workers until the first reading.
-            () = node.known_state.undated_detected.notified() => {
+            () = node.known_state.undated_changed.notified() => {
                 sleep(first_undated_pause(nodes, pages, rate, rand::random())).await;
             }
         }
--- a/crates/pinerill-forward/src/monitoring.rs
+++ b/crates/pinerill-forward/src/monitoring.rs
@@ -69,7 +69,7 @@
     /// Whether the leader's responses lack the age of its directory, as those of older builds do.
     pub(crate) undated: AtomicBool,
     /// Notified when `undated` changes.
-    pub(crate) undated_detected: Notify,
+    pub(crate) undated_changed: Notify,
 }
 
 impl Metrics {
