--- a/crates/pinerill-forward/src/batch/item.rs
+++ b/crates/pinerill-forward/src/batch/item.rs
@@ -252,6 +252,7 @@
     run: WorkerRun,
 }
 
+/// Sends the item to the worker of `slot` and waits until the response starts.
 async fn send(
     node: &Arc<Node>,
     running: &ActiveItem,
@@ -313,6 +314,7 @@
     LeaseUnconfirmed,
 }
 
+/// Appends the events of a response to the item until all have arrived or the run must end.
 async fn read_events(
     running: &mut ActiveItem,
     held: &HeldLeases,
@@ -368,6 +370,8 @@
     })
 }
 
+/// Counts and logs a preemption, and records its time unless an earlier one has brought no event
+/// since.
 fn record_preemption(node: &Node, running: &mut ActiveItem, worker: &str) {
     running.interrupted_at.get_or_insert_with(BootTime::now);
     running.preemptions += 1;
@@ -378,6 +382,7 @@
     );
 }
 
+/// Reports a broken attempt to the fleet and makes the next attempt avoid the worker.
 fn record_broken_attempt(
     node: &Node,
     running: &mut ActiveItem,
--- a/crates/pinerill-forward/src/batch/leases.rs
+++ b/crates/pinerill-forward/src/batch/leases.rs
@@ -43,6 +43,7 @@
 /// The items leased to this node, with the tasks that run them.
 pub(super) struct HeldLeases {
     tasks: Mutex<HashMap<ItemRef, AbortOnDropHandle<()>>>,
+    /// Start of the last request whose leases the leader confirmed; None before the first.
     renewed_at: Mutex<Option<BootTime>>,
     /// Notified when an item is released, which may have freed a slot.
     pub(super) changed: Notify,
@@ -103,6 +104,7 @@
     }
 }
 
+/// Renews the leases and requests more items until the node is stopping and holds none.
 async fn lease_items(node: Arc<Node>, held: Arc<HeldLeases>, reporter: reports::ReportSender) {
     while !(node.stopping.is_cancelled() && held.is_empty()) {
         let started = BootTime::now();
@@ -146,6 +148,7 @@
     node.batch_capacity(nodes).items.min(MAX_ITEMS_PER_RESPONSE)
 }
 
+/// Aborts the items that the leader wants stopped and starts the newly leased ones.
 fn apply_leases(
     node: &Arc<Node>,
     held: &Arc<HeldLeases>,
--- a/crates/pinerill-forward/src/batch/preemption.rs
+++ b/crates/pinerill-forward/src/batch/preemption.rs
@@ -116,8 +116,8 @@
         &self.run_time
     }
 
-    /// Sets the smallest slack, in milliseconds, of the items queued at the leader; None if no queued
-    /// item can be on time.
+    /// Sets the smallest slack, in milliseconds, of the items queued at the leader; None if no
+    /// queued item can be on time.
     pub fn set_backlog_slack(&mut self, slack_ms: Option<i64>) {
         self.backlog_slack_ms = slack_ms;
     }
@@ -189,6 +189,8 @@
         }
     }
 
+    /// Estimates from past run times whether an item can be on time, and by how much. It counts as
+    /// late only if even the shortest expected run time is too long; its slack assumes the longest.
     fn timing(&self, now_ms: u64, item: &RunningItem) -> Timing {
         let until_due_ms = item.due_ms as f64 - now_ms as f64;
         let ran_ms = item.ran_ms + now_ms.saturating_sub(item.began_ms) as f64;
--- a/crates/pinerill-forward/src/batch/reports.rs
+++ b/crates/pinerill-forward/src/batch/reports.rs
@@ -47,6 +47,7 @@
     }
 }
 
+/// Sends one message until the leader has recorded it or rejects it as invalid.
 async fn send_reports(node: &Node, reports: &[ItemReport]) {
     let request = CallsRequest::ReportItems(reports.to_vec());
     loop {
--- a/crates/pinerill-forward/src/batch/running.rs
+++ b/crates/pinerill-forward/src/batch/running.rs
@@ -31,7 +31,9 @@
     pub(super) identity: Arc<RequestIdentity>,
     pub(super) request: WorkerRequest,
     pub(super) prompt: Prompt,
+    /// Text of all events received so far.
     pub(super) text: EventText,
+    /// Number of the last event received; None before the first.
     pub(super) last_event: Option<u64>,
     /// Worker of the last broken attempt, which the next attempt avoids; empty if there is none.
     pub(super) avoid: Vec<WorkerId>,
--- a/crates/pinerill-forward/src/batch/runs.rs
+++ b/crates/pinerill-forward/src/batch/runs.rs
@@ -102,8 +102,8 @@
         longest.map_or(0, |ms| ms as u64)
     }
 
-    /// Sets the smallest slack, in milliseconds, of the items queued at the leader; None if no queued
-    /// item can be on time.
+    /// Sets the smallest slack, in milliseconds, of the items queued at the leader; None if no
+    /// queued item can be on time.
     pub(super) fn set_backlog_slack(&self, slack_ms: Option<i64>) {
         self.state.lock().preemption.set_backlog_slack(slack_ms);
     }
--- a/crates/pinerill-forward/src/monitoring.rs
+++ b/crates/pinerill-forward/src/monitoring.rs
@@ -63,8 +63,8 @@
     /// Time of the last response of a control machine in milliseconds on the node's clock; 0 before
     /// the first.
     pub(crate) last_control_answer_ms: AtomicU64,
-    /// Whether the node must request the full state from the leader, because a source other than the
-    /// leader has changed the known workers or control machines, or the machine was suspended.
+    /// Whether the node must request the full state from the leader, because a source other than
+    /// the leader has changed the known workers or control machines, or the machine was suspended.
     pub(crate) needs_full_update: AtomicBool,
     /// Whether the leader's responses lack the age of its directory, as those of older builds do.
     pub(crate) undated: AtomicBool,
--- a/crates/pinerill-forward/src/node.rs
+++ b/crates/pinerill-forward/src/node.rs
@@ -140,8 +140,8 @@
         (moment - self.started).as_millis() as u64
     }
 
-    /// Returns the age, in milliseconds, of the platform list that the directory of workers is based
-    /// on; the time since the node started if there is no list yet.
+    /// Returns the age, in milliseconds, of the platform list that the directory of workers is
+    /// based on; the time since the node started if there is no list yet.
     pub fn directory_age_ms(&self) -> u64 {
         self.with_fleet(|fleet, now_ms| {
             let listed_ms = fleet.listed_ms().unwrap_or(0);
@@ -174,9 +174,9 @@
         self.table.read().clone()
     }
 
-    /// Returns the current route table. If there is none, waits until `FIRST_TABLE_TIMEOUT` after the
-    /// node's start. Returns None if no table arrives by then, or at once if too many calls wait
-    /// already.
+    /// Returns the current route table. If there is none, waits until `FIRST_TABLE_TIMEOUT` after
+    /// the node's start. Returns None if no table arrives by then, or at once if too many calls
+    /// wait already.
     pub(crate) async fn first_table(&self) -> Option<Arc<RouteIndex>> {
         if let Some(table) = self.table() {
             return Some(table);
@@ -192,8 +192,8 @@
         }
     }
 
-    /// Checks whether the machine was suspended. If so, logs it and has the full state requested from
-    /// the leader.
+    /// Checks whether the machine was suspended. If so, logs it and has the full state requested
+    /// from the leader.
     pub(crate) fn check_suspension(&self) {
         let Some(suspended) = self.waking.check_clocks() else {
             return;
@@ -208,8 +208,8 @@
         );
     }
 
-    /// Waits while the known state dates from before a suspension of the machine, up to the limit set
-    /// by [`ResumeGate`].
+    /// Waits while the known state dates from before a suspension of the machine, up to the limit
+    /// set by [`ResumeGate`].
     pub(crate) async fn wait_for_refresh(&self) {
         self.check_suspension();
         while let Some(left) = self.waking.remaining_hold() {
@@ -302,8 +302,7 @@
         self.with_fleet(|fleet, now_ms| fleet.was_full(now_ms, worker));
     }
 
-    /// Reports that a worker's process has ended. The crash ledger decides from the runs in flight
-    /// there whether it crashed.
+    /// Reports that a worker's process has ended. A worker that was shutting down has not crashed.
     fn worker_is_gone(&self, worker: &str, evidence: CrashEvidence) {
         let entry = self.with_fleet(|fleet, _| Some(fleet.worker(worker)?.entry().clone()));
         if let Some(entry) = entry {
--- a/crates/pinerill-forward/src/run.rs
+++ b/crates/pinerill-forward/src/run.rs
@@ -1,7 +1,8 @@
 //! Starts the servers and background tasks of a node and shuts them down gracefully.
 //!
 //! Called by the binary. After SIGTERM or SIGINT, calls and items in flight get most of the
-//! configured stop time to end; the leases of unfinished items are then released.
+//! configured stop time to end; a second signal ends them at once. The leases of unfinished items
+//! are then released.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
