--- a/crates/pinerill-forward/src/node.rs
+++ b/crates/pinerill-forward/src/node.rs
@@ -1,4 +1,6 @@
-//! What the parts of a node share.
+//! State shared by the modules of a node.
+//!
+//! All servers and background tasks that `run` starts hold an `Arc<Node>`.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -14,7 +16,7 @@
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-use crate::batch::Runs;
+use crate::batch::ItemRuns;
 use crate::cluster::ClusterClient;
 use crate::confirmation::HealthChecks;
 use crate::crash::broken_runs::CrashEvidence;
@@ -22,61 +24,61 @@
 use crate::dispatch::Dispatcher;
 use crate::exchange::{BreakReason, ConnectionPool};
 use crate::fleet::{BatchCapacity, ChosenWorker, Fleet, PlacementRequest, Prompt, SlowStartPermit};
-use crate::monitoring::{Beliefs, Metrics};
+use crate::monitoring::{KnownState, Metrics};
 use crate::peers::Peers;
 use crate::quota::NodeQuota;
 use crate::slow_start::SlowStartDemand;
 use crate::waking::ResumeGate;
 
-/// Part of the time for a planned stop in which calls are still taken: callers
-/// need some seconds to learn of it.
-const TAKING_PART: f64 = 0.35;
+/// Share of the configured stop time in which new calls are still admitted, because it takes some
+/// seconds until callers know that the node is stopping.
+const ADMISSION_SHARE: f64 = 0.35;
 
-/// Time after its start in which a node holds calls until it has a route table: a cluster
-/// whose processes all start at once has a leader and a table after some 0.4 s, and a node
-/// that has none after this time can't say when it will. Their bodies are not read yet.
-const STARTING_TIME: Duration = Duration::from_millis(1_200);
-/// Calls held so at most; the rest is refused at once. A burst brings a node some 10 a
-/// second here.
-const CALLS_HELD_AT_START: usize = 64;
+/// Time after the node's start until which calls wait for the first route table, with their bodies
+/// still unread. A cluster whose processes all start at once has a leader and a table after about
+/// 0.4 s. A node without a table after this time cannot estimate when it will get one.
+const FIRST_TABLE_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Maximum number of calls that wait for the first route table; further calls are rejected at
+/// once. A node receives about 10 calls per second in a burst.
+const MAX_CALLS_WAITING_FOR_TABLE: usize = 64;
 
-/// Pause between two looks whether the leader has answered after a suspension.
-const WAKING_LOOK_PAUSE: Duration = Duration::from_millis(10);
+/// Interval between two checks whether the known state was refreshed after a suspension.
+const REFRESH_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A node.
+/// A node: its settings, its known state, and its connections to workers, peers and the leader.
 pub struct Node {
     pub(crate) settings: NodeSettings,
-    /// The node in this start of its process.
-    pub(crate) start: String,
+    /// Identifies this run of the node's process: the node's name and a random number.
+    pub(crate) incarnation: String,
     pub(crate) caller_protocol: Arc<dyn CallerProtocol>,
     worker_protocol: Arc<dyn WorkerProtocol>,
     pub(crate) cluster: ClusterClient,
     pub(crate) peers: Peers,
     table: RwLock<Option<Arc<RouteIndex>>>,
-    table_taken: Notify,
-    /// Calls that may wait for the first table.
-    starting: Semaphore,
+    table_installed: Notify,
+    /// Limits the number of calls that wait for the first route table.
+    first_table_permits: Semaphore,
     fleet: Mutex<Fleet>,
     connections: Arc<ConnectionPool>,
     pub(crate) dispatcher: Dispatcher,
-    pub(crate) runs: Arc<Runs>,
+    pub(crate) runs: Arc<ItemRuns>,
     pub(crate) crashes: CrashDesk,
     pub(crate) health_checks: HealthChecks,
     pub(crate) waking: ResumeGate,
     pub(crate) quota: NodeQuota,
     pub(crate) slow_starts: SlowStartDemand,
     pub(crate) metrics: Metrics,
-    pub(crate) beliefs: Beliefs,
+    pub(crate) known_state: KnownState,
     started: BootTime,
     pub(crate) stopping: CancellationToken,
-    /// When it began to stop, on its clock; 0 before.
-    stop_began_ms: AtomicU64,
+    /// Time at which the node began to stop in milliseconds on its clock; 0 before.
+    stop_started_ms: AtomicU64,
 }
 
-/// What a node is made of.
+/// Arguments of [`Node::new`].
 pub(crate) struct NodeParts {
     pub(crate) settings: NodeSettings,
-    pub(crate) start: String,
+    pub(crate) incarnation: String,
     pub(crate) caller_protocol: Arc<dyn CallerProtocol>,
     pub(crate) worker_protocol: Arc<dyn WorkerProtocol>,
     pub(crate) cluster: ClusterClient,
@@ -90,14 +92,14 @@
     pub(crate) fn new(parts: NodeParts) -> Self {
         Node {
             settings: parts.settings,
-            start: parts.start,
+            incarnation: parts.incarnation,
             caller_protocol: parts.caller_protocol,
             worker_protocol: parts.worker_protocol,
             cluster: parts.cluster,
             peers: parts.peers,
             table: RwLock::new(None),
-            table_taken: Notify::new(),
-            starting: Semaphore::new(CALLS_HELD_AT_START),
+            table_installed: Notify::new(),
+            first_table_permits: Semaphore::new(MAX_CALLS_WAITING_FOR_TABLE),
             fleet: Mutex::new(parts.fleet),
             connections: Arc::default(),
             dispatcher: Dispatcher::default(),
@@ -108,38 +110,38 @@
             quota: NodeQuota::default(),
             slow_starts: SlowStartDemand::default(),
             metrics: parts.metrics,
-            beliefs: Beliefs::default(),
+            known_state: KnownState::default(),
             started: BootTime::now(),
             stopping: parts.stopping,
-            stop_began_ms: AtomicU64::new(0),
+            stop_started_ms: AtomicU64::new(0),
         }
     }
 
-    /// Notes that the node begins to stop.
+    /// Records that the node begins to stop.
     pub(crate) fn begin_stop(&self) {
         let now_ms = self.now_ms().max(1);
-        self.stop_began_ms.store(now_ms, Ordering::Relaxed);
+        self.stop_started_ms.store(now_ms, Ordering::Relaxed);
     }
 
-    /// Whether it stops and a call that came now could not end in time.
-    pub(crate) fn takes_no_more(&self) -> bool {
-        let began_ms = self.stop_began_ms.load(Ordering::Relaxed);
-        let taking_ms = self.settings.stop_s * TAKING_PART * 1_000.0;
-        began_ms > 0 && (self.now_ms() - began_ms) as f64 > taking_ms
+    /// Returns whether the node is stopping and a call that arrives now could not end in time.
+    pub(crate) fn rejects_new_calls(&self) -> bool {
+        let started_ms = self.stop_started_ms.load(Ordering::Relaxed);
+        let admission_ms = self.settings.stop_s * ADMISSION_SHARE * 1_000.0;
+        started_ms > 0 && (self.now_ms() - started_ms) as f64 > admission_ms
     }
 
-    /// Milliseconds of a steady clock.
+    /// Returns the milliseconds since this node started, including suspensions of the machine.
     pub fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
-    /// A moment on the node's clock, milliseconds.
+    /// Converts a time to milliseconds on the node's clock.
     pub(crate) fn ms_at(&self, moment: BootTime) -> u64 {
         (moment - self.started).as_millis() as u64
     }
 
-    /// Age of the reading of the platform list that the directory of workers goes by,
-    /// milliseconds; the age of this process before the first.
+    /// Returns the age, in milliseconds, of the platform list that the directory of workers is
+    /// based on; the time since the node started if there is no list yet.
     pub fn directory_age_ms(&self) -> u64 {
         self.with_fleet(|fleet, now_ms| {
             let listed_ms = fleet.listed_ms().unwrap_or(0);
@@ -147,103 +149,114 @@
         })
     }
 
-    /// Time since a control machine answered, milliseconds.
+    /// Returns the milliseconds since the last response of a control machine, or since the node
+    /// started if there was none.
     pub(crate) fn control_silent_ms(&self) -> u64 {
-        let heard_ms = self.beliefs.control_heard_ms.load(Ordering::Relaxed);
-        self.now_ms().saturating_sub(heard_ms)
+        let answered_ms = self
+            .known_state
+            .last_control_answer_ms
+            .load(Ordering::Relaxed);
+        self.now_ms().saturating_sub(answered_ms)
     }
 
-    /// How workers are spoken to.
+    /// Returns the protocol spoken with workers.
     pub fn worker_protocol(&self) -> &dyn WorkerProtocol {
         self.worker_protocol.as_ref()
     }
 
-    /// Idle connections to workers.
+    /// Returns the pool of connections to workers.
     pub fn connections(&self) -> &Arc<ConnectionPool> {
         &self.connections
     }
 
-    /// The route table in force here; none before the first.
+    /// Returns the current route table; None before the first.
     pub fn table(&self) -> Option<Arc<RouteIndex>> {
         self.table.read().clone()
     }
 
-    /// The route table in force here. A node that has just started waits for its first one
-    /// for a moment, unless too many calls do so already.
+    /// Returns the current route table. If there is none, waits until `FIRST_TABLE_TIMEOUT` after
+    /// the node's start. Returns None if no table arrives by then, or at once if too many calls
+    /// wait already.
     pub(crate) async fn first_table(&self) -> Option<Arc<RouteIndex>> {
         if let Some(table) = self.table() {
             return Some(table);
         }
-        let _held = self.starting.try_acquire().ok()?;
-        let until = self.started + STARTING_TIME;
+        let _permit = self.first_table_permits.try_acquire().ok()?;
+        let until = self.started + FIRST_TABLE_TIMEOUT;
         loop {
-            let taken = self.table_taken.notified();
+            let installed = self.table_installed.notified();
             if let Some(table) = self.table() {
                 return Some(table);
             }
-            timeout_at(until, taken).await.ok()?;
+            timeout_at(until, installed).await.ok()?;
         }
     }
 
-    /// Looks whether the machine was suspended, and says so.
-    pub(crate) fn look_at_clocks(&self) {
+    /// Checks whether the machine was suspended. If so, logs it and has the full state requested
+    /// from the leader.
+    pub(crate) fn check_suspension(&self) {
         let Some(suspended) = self.waking.check_clocks() else {
             return;
         };
-        // The leader shall tell all of it again.
-        self.beliefs.told_by_others.store(true, Ordering::Relaxed);
+        // The next request to the leader asks for the full state.
+        self.known_state
+            .needs_full_update
+            .store(true, Ordering::Relaxed);
         log::warn!(
             event = "machine_was_suspended", ms = suspended.as_millis() as u64,
             directory_age_ms = self.directory_age_ms(); ""
         );
     }
 
-    /// Waits while what is believed is as old as before a suspension of the machine.
-    pub(crate) async fn until_awake(&self) {
-        self.look_at_clocks();
+    /// Waits while the known state dates from before a suspension of the machine, up to the limit
+    /// set by [`ResumeGate`].
+    pub(crate) async fn wait_for_refresh(&self) {
+        self.check_suspension();
         while let Some(left) = self.waking.remaining_hold() {
-            sleep(left.min(WAKING_LOOK_PAUSE)).await;
+            sleep(left.min(REFRESH_CHECK_INTERVAL)).await;
         }
     }
 
-    /// Takes in a route table unless one as new is in force.
-    pub(crate) fn take_table(&self, index: RouteIndex) -> bool {
-        let mut held = self.table.write();
+    /// Replaces the route table if `index` has a higher version. Returns whether it did.
+    pub(crate) fn install_table(&self, index: RouteIndex) -> bool {
+        let mut current = self.table.write();
         let version = index.table().version;
-        let newer = held
+        let newer = current
             .as_ref()
             .is_none_or(|known| known.table().version < version);
         if newer {
             self.with_fleet(|fleet, _| fleet.apply_slow_starts(index.table()));
-            *held = Some(Arc::new(index));
-            self.table_taken.notify_waiters();
+            *current = Some(Arc::new(index));
+            self.table_installed.notify_waiters();
         }
         newer
     }
 
-    /// Looks at the workers.
-    pub(crate) fn with_fleet<R>(&self, look: impl FnOnce(&mut Fleet, u64) -> R) -> R {
+    /// Locks the fleet and calls `operation` with it and the current time in milliseconds on the
+    /// node's clock.
+    pub(crate) fn with_fleet<R>(&self, operation: impl FnOnce(&mut Fleet, u64) -> R) -> R {
         let now_ms = self.now_ms();
-        look(&mut self.fleet.lock(), now_ms)
+        operation(&mut self.fleet.lock(), now_ms)
     }
 
-    /// The worker for an item of a job.
+    /// Chooses a worker for an item of a job. Returns None if no suitable worker has a free slot.
     pub fn choose_for_item(&self, wanted: &PlacementRequest<'_>) -> Option<ChosenWorker> {
         self.with_fleet(|fleet, now_ms| fleet.choose_for_item(now_ms, wanted))
     }
 
-    /// Items of jobs that may begin here.
+    /// Returns how many items of jobs this node may start now, if `nodes` nodes share the workers.
     pub fn batch_capacity(&self, nodes: u32) -> BatchCapacity {
         self.with_fleet(|fleet, now_ms| fleet.batch_capacity(now_ms, nodes))
     }
 
-    /// Whether calls wait for places here or at other nodes of the zone.
-    pub(crate) fn calls_wait(&self) -> bool {
+    /// Returns whether calls wait for slots at this node or at other nodes of the zone.
+    pub(crate) fn has_waiting_calls(&self) -> bool {
         self.dispatcher.waiting() > 0 || self.dispatcher.peers_have_waiting_calls(self.now_ms())
     }
 
-    /// Takes a place at a worker.
-    pub fn occupy(self: &Arc<Self>, chosen: &ChosenWorker, prompt: &Prompt) -> Occupied {
+    /// Occupies a slot of a worker and informs the peers. The slot is released when the returned
+    /// value is dropped.
+    pub fn occupy_slot(self: &Arc<Self>, chosen: &ChosenWorker, prompt: &Prompt) -> OccupiedSlot {
         let worker = chosen.entry.id.clone();
         let permit = self.with_fleet(|fleet, now_ms| {
             fleet.remember_prompt(now_ms, &worker, prompt);
@@ -251,19 +264,20 @@
         });
         self.peers.tell_prompt(&worker, chosen.prefill_ms);
         self.peers.changed();
-        Occupied {
+        OccupiedSlot {
             node: self.clone(),
             worker,
             permit,
         }
     }
 
-    /// Takes in a load sample of an answer.
-    pub fn take_load(&self, worker: &str, load: LoadSample) {
+    /// Records a load sample from a worker's response.
+    pub fn record_load(&self, worker: &str, load: LoadSample) {
         self.with_fleet(|fleet, now_ms| fleet.record_load(now_ms, worker, load));
     }
 
-    /// Notes that a worker could not be reached, broke off or was silent.
+    /// Records that an attempt failed because the worker was unreachable, closed the connection or
+    /// timed out. Ignores reasons that are not the worker's failure.
     pub fn worker_failed(&self, worker: &str, reason: &BreakReason) {
         if !reason.is_failure() {
             return;
@@ -282,13 +296,13 @@
         self.with_fleet(|fleet, now_ms| fleet.record_failure(now_ms, worker));
     }
 
-    /// Notes that a worker had no room.
+    /// Records that a worker rejected a request because it had no free slot.
     pub fn worker_full(&self, worker: &str) {
         self.metrics.worker_refusals.inc();
         self.with_fleet(|fleet, now_ms| fleet.mark_full(now_ms, worker));
     }
 
-    /// A worker's process is gone; whether it crashed depends on what it was doing.
+    /// Reports that a worker's process has ended. A worker that was shutting down has not crashed.
     fn worker_is_gone(&self, worker: &str, evidence: CrashEvidence) {
         let entry = self.with_fleet(|fleet, _| Some(fleet.worker(worker)?.entry().clone()));
         if let Some(entry) = entry {
@@ -296,7 +310,7 @@
         }
     }
 
-    /// Notes that another worker answers at this one's address.
+    /// Records that a different worker responds at the address of this worker.
     pub fn worker_replaced(&self, worker: &str) {
         log::info!(event = "worker_replaced", worker; "");
         self.worker_is_gone(worker, CrashEvidence::Replaced);
@@ -304,32 +318,32 @@
     }
 }
 
-/// A place at a worker, given up when dropped.
-pub struct Occupied {
+/// An occupied slot of a worker, released when dropped.
+pub struct OccupiedSlot {
     node: Arc<Node>,
     worker: WorkerId,
     permit: Option<SlowStartPermit>,
 }
 
-impl Occupied {
-    /// The worker.
+impl OccupiedSlot {
+    /// Returns the worker that the slot belongs to.
     pub fn worker(&self) -> &WorkerId {
         &self.worker
     }
 
-    /// What lets the request go to the worker while that is cold.
+    /// Returns the permit to send the request while the worker is in slow start, if one was taken.
     pub fn permit(&self) -> Option<SlowStartPermit> {
         self.permit
     }
 
-    /// The worker answered as it should.
+    /// Records that the worker responded correctly.
     pub fn succeeded(&self) {
         self.node
             .with_fleet(|fleet, now_ms| fleet.record_success(now_ms, &self.worker));
     }
 }
 
-impl Drop for Occupied {
+impl Drop for OccupiedSlot {
     fn drop(&mut self) {
         self.node
             .with_fleet(|fleet, _| fleet.end_request(&self.worker));
