--- a/crates/pinerill-forward/src/batch/item.rs
+++ b/crates/pinerill-forward/src/batch/item.rs
@@ -162,13 +162,13 @@
                 NotRunReason::Full => node.worker_full(&chosen),
                 NotRunReason::OtherWorker => node.worker_replaced(&chosen),
             }
-            run.not_begun();
+            run.mark_not_started();
             drain(node, sent).await;
             sleep(PLACE_PAUSE).await;
             None
         }
         Verdict::Impossible => {
-            run.answered();
+            run.mark_answered();
             drain(node, sent).await;
             Some(ItemEnd::Impossible)
         }
@@ -183,21 +183,21 @@
                 }
                 Ok(ReadEnd::LeaseInDoubt) => None,
                 Ok(ReadEnd::Whole) => {
-                    run.answered();
+                    run.mark_answered();
                     let text = std::mem::take(&mut running.text).into_bytes();
                     let kept = compress(&text);
                     running.bytes = (text.len(), kept.len());
                     Some(ItemEnd::Completed(kept))
                 }
                 Err(reason) => {
-                    run.broke(&reason);
+                    run.mark_broken(&reason);
                     broke(node, running, &chosen, &reason);
                     None
                 }
             }
         }
         Verdict::Failed | Verdict::Taken | Verdict::Other => {
-            run.answered();
+            run.mark_answered();
             drain(node, sent).await;
             Some(ItemEnd::Failed {
                 run: rand::random(),
@@ -268,13 +268,13 @@
         Ok(Ok(sent)) => sent,
         Ok(Err(failure)) => {
             match failure.sent {
-                true => run.broke(&failure.reason),
-                false => run.not_begun(),
+                true => run.mark_broken(&failure.reason),
+                false => run.mark_not_started(),
             }
             return Err(failure.reason);
         }
         Err(_) => {
-            run.broke(&BreakReason::Silent);
+            run.mark_broken(&BreakReason::Silent);
             return Err(BreakReason::Silent);
         }
     };
@@ -323,7 +323,7 @@
         if batch.count > 0 {
             running.text.append(&batch.bytes);
             running.last = scanner.last();
-            worker_run.reached(running.last);
+            worker_run.record_event(running.last);
             if let Some(gave_way) = running.gave_way.take() {
                 node.runs.resumed(gave_way.elapsed());
             }
--- a/crates/pinerill-forward/src/call/attempt.rs
+++ b/crates/pinerill-forward/src/call/attempt.rs
@@ -60,7 +60,7 @@
         } = tokio::select! {
             // A request that is already known to crash workers gets no slot.
             biased;
-            () = node.until_blocked(&call.identity) => return Err(AttemptEnd::CrashesWorkers),
+            () = node.wait_until_blocked(&call.identity) => return Err(AttemptEnd::CrashesWorkers),
             placed = self.wait_for_slot(node, call, record) => placed?,
         };
         record.begin_attempt(&chosen);
@@ -108,7 +108,7 @@
         node.record_worker_answer(asked_ms, &worker.id, &sent.answer);
         if let Verdict::NotRun(reason) = sent.answer.verdict {
             record.attempt_failed(&reason);
-            run.not_begun();
+            run.mark_not_started();
             self.handle_not_run(node, &worker.id, reason, sent).await;
             return Err(AttemptEnd::NotRun);
         }
@@ -122,9 +122,9 @@
         let worker = run.worker().clone();
         log::info!(
             event = "attempt_broke", id = call.head.id.as_str(), worker = worker.as_str(),
-            request:% = call.identity.fingerprint(), reach = run.reach(), reason:% = reason; ""
+            request:% = call.identity.fingerprint(), reach = run.last_event(), reason:% = reason; ""
         );
-        run.broke(reason);
+        run.mark_broken(reason);
         self.exclude_worker(node, worker, reason);
     }
 
@@ -168,7 +168,7 @@
             return AttemptEnd::MayHaveRun;
         }
         let worker = run.worker().clone();
-        run.not_begun();
+        run.mark_not_started();
         self.handle_not_sent(node, &worker, call, &failure.reason)
     }
 
--- a/crates/pinerill-forward/src/call/online.rs
+++ b/crates/pinerill-forward/src/call/online.rs
@@ -109,7 +109,7 @@
     let read = timeout_at(call.deadline, reading).await;
     let body = match read.unwrap_or(Err(BreakReason::Silent)) {
         Ok(body) => {
-            run.answered();
+            run.mark_answered();
             body
         }
         Err(reason) => {
--- a/crates/pinerill-forward/src/call/relay.rs
+++ b/crates/pinerill-forward/src/call/relay.rs
@@ -123,7 +123,7 @@
             let batch = self.scanner.push(&piece);
             let batch = batch.map_err(|_| BreakReason::EventOrder)?;
             if batch.count > 0 {
-                running.run.reached(self.scanner.last());
+                running.run.record_event(self.scanner.last());
                 self.record.add_events(batch.count);
                 return Ok(Some(batch.bytes));
             }
@@ -154,7 +154,7 @@
         }) = self.running.take()
         {
             slot.succeeded();
-            run.answered();
+            run.mark_answered();
             exchange.finish(self.node.connections());
         }
     }
@@ -201,7 +201,7 @@
         let Attempted { sent, slot, run } = attempted?;
         let continues = sent.answer.verdict == Verdict::Taken && sent.head.status == StatusCode::OK;
         if !continues {
-            run.answered();
+            run.mark_answered();
             return Err(AttemptEnd::MayHaveRun);
         }
         self.running = Some(Running {
--- a/crates/pinerill-forward/src/cluster/client.rs
+++ b/crates/pinerill-forward/src/cluster/client.rs
@@ -130,14 +130,14 @@
     }
 
     /// Takes in which control machines there are, and where.
-    pub fn learn_zones(&self, controls: Vec<ControlAddress>) {
+    pub fn update_control_machines(&self, controls: Vec<ControlAddress>) {
         let near = controls
             .iter()
             .filter(|one| one.is_member && one.zone == self.identity.zone);
         let near = near.map(|one| one.address).collect();
         let members = controls.iter().filter(|one| one.is_member);
         let member_zones = members.map(|one| one.zone.clone()).collect();
-        self.learn(controls.into_iter().map(|one| one.address).collect());
+        self.update_addresses(controls.into_iter().map(|one| one.address).collect());
         let mut addresses = self.addresses.lock();
         addresses.near = near;
         addresses.member_zones = member_zones;
@@ -149,7 +149,7 @@
     }
 
     /// Takes in which control machines there are.
-    pub fn learn(&self, known: Vec<SocketAddr>) {
+    pub fn update_addresses(&self, known: Vec<SocketAddr>) {
         if known.is_empty() {
             return;
         }
--- a/crates/pinerill-forward/src/cluster/mod.rs
+++ b/crates/pinerill-forward/src/cluster/mod.rs
@@ -8,4 +8,4 @@
 
 pub use client::{Answered, CallFailure, ClusterClient};
 pub use older_leader::OlderLeader;
-pub(crate) use watch::follow;
+pub(crate) use watch::follow_leader;
--- a/crates/pinerill-forward/src/cluster/watch.rs
+++ b/crates/pinerill-forward/src/cluster/watch.rs
@@ -45,7 +45,7 @@
 const PAGE_LIMIT: usize = 1_000;
 
 /// Follows the leader until the node stops.
-pub(crate) async fn follow(node: Arc<Node>, list: Arc<dyn WorkerListProtocol>) {
+pub(crate) async fn follow_leader(node: Arc<Node>, list: Arc<dyn WorkerListProtocol>) {
     let watching = watch(node.clone());
     let reading = read_list_while_lost(node, list);
     tokio::join!(watching, reading);
@@ -262,7 +262,7 @@
         bridges = processes.bridges.len(); ""
     );
     node.peers.learn(&node.settings.zone, &processes);
-    node.cluster.learn_zones(processes.controls);
+    node.cluster.update_control_machines(processes.controls);
 }
 
 /// Takes in a directory that the leader told.
@@ -309,7 +309,7 @@
             true => CrashEvidence::Replaced,
             false => CrashEvidence::Unlisted,
         };
-        node.worker_crashed(&worker.entry, evidence);
+        node.record_worker_crash(&worker.entry, evidence);
     }
     let leaving = workers
         .iter()
--- a/crates/pinerill-forward/src/crash/mod.rs
+++ b/crates/pinerill-forward/src/crash/mod.rs
@@ -14,18 +14,18 @@
 //! crashes nothing is told, and a body is hashed only if its run ends early.
 
 pub mod broken_runs;
-mod desk;
 mod fingerprint;
 pub mod ledger;
 mod operators;
 mod run;
+mod tracker;
 mod verdicts;
 
 use pinerill_calls::directory::WorkerEntry;
 use serde::{Deserialize, Serialize};
 
-pub(crate) use desk::CrashDesk;
-pub(crate) use operators::with_blocked_requests;
+pub(crate) use operators::mount_blocked_requests;
+pub(crate) use tracker::CrashTracker;
 pub(crate) use verdicts::REPORTS_TOLD;
 
 pub use fingerprint::{RequestFingerprint, RequestIdentity, Requester};
--- a/crates/pinerill-forward/src/crash/operators.rs
+++ b/crates/pinerill-forward/src/crash/operators.rs
@@ -10,7 +10,7 @@
 use crate::node::Node;
 
 /// Adds what is asked of blocked requests to a node's server for operators.
-pub(crate) fn with_blocked_requests(server: Rocket<Build>, node: Arc<Node>) -> Rocket<Build> {
+pub(crate) fn mount_blocked_requests(server: Rocket<Build>, node: Arc<Node>) -> Rocket<Build> {
     server
         .manage(node)
         .mount("/requests/blocked", routes![list, clear])
--- a/crates/pinerill-forward/src/crash/run.rs
+++ b/crates/pinerill-forward/src/crash/run.rs
@@ -42,28 +42,28 @@
     }
 
     /// Number of the last event that arrived; 0 if none did.
-    pub fn reach(&self) -> u64 {
+    pub fn last_event(&self) -> u64 {
         self.reach
     }
 
     /// Events up to this one have arrived.
-    pub fn reached(&mut self, event: Option<u64>) {
+    pub fn record_event(&mut self, event: Option<u64>) {
         self.reach = self.reach.max(event.unwrap_or(0));
     }
 
     /// The worker can't have begun it.
-    pub fn not_begun(mut self) {
+    pub fn mark_not_started(mut self) {
         self.is_open = false;
     }
 
     /// The worker answered whole, so that it outlived the request.
-    pub fn answered(mut self) {
+    pub fn mark_answered(mut self) {
         self.is_open = false;
         self.node.request_answered(&self.request);
     }
 
     /// It broke off.
-    pub fn broke(mut self, reason: &BreakReason) {
+    pub fn mark_broken(mut self, reason: &BreakReason) {
         self.is_open = false;
         self.node.request_outlived(&self.request, self.reach);
         if *reason == BreakReason::Restarted {
--- a/crates/pinerill-forward/src/crash/desk.rs
+++ b/crates/pinerill-forward/src/crash/tracker.rs
@@ -18,7 +18,7 @@
 
 /// What a node knows of crashes.
 #[derive(Default)]
-pub(crate) struct CrashDesk {
+pub(crate) struct CrashTracker {
     broken: Mutex<BrokenRuns>,
     /// Workers that are being connected to, to see whether they live.
     probed: Mutex<HashSet<WorkerStart>>,
@@ -57,7 +57,9 @@
                     node.crashes.broken.lock().lives(start);
                     node.connections().put(&worker.id, connection, None);
                 }
-                Err(BreakReason::Refused) => node.worker_crashed(&worker, CrashEvidence::Refused),
+                Err(BreakReason::Refused) => {
+                    node.record_worker_crash(&worker, CrashEvidence::Refused)
+                }
                 // It may be cut off; the list tells.
                 Err(_) => {}
             }
@@ -67,7 +69,7 @@
 
     /// Something shows that a worker's process is gone. One that is leaving ends without
     /// having crashed.
-    pub(crate) fn worker_crashed(&self, worker: &WorkerEntry, evidence: CrashEvidence) {
+    pub(crate) fn record_worker_crash(&self, worker: &WorkerEntry, evidence: CrashEvidence) {
         if worker.state == WorkerState::Draining {
             return;
         }
--- a/crates/pinerill-forward/src/crash/verdicts.rs
+++ b/crates/pinerill-forward/src/crash/verdicts.rs
@@ -22,7 +22,7 @@
     }
 
     /// Ends once a request is known to crash workers, so that it is not held any longer.
-    pub(crate) async fn until_blocked(&self, request: &RequestIdentity) {
+    pub(crate) async fn wait_until_blocked(&self, request: &RequestIdentity) {
         loop {
             let mut changed = pin!(self.crashes.blocked.notified());
             changed.as_mut().enable();
--- a/crates/pinerill-forward/src/dispatch/mod.rs
+++ b/crates/pinerill-forward/src/dispatch/mod.rs
@@ -170,7 +170,7 @@
             self.admit(node, call, &waiting)?;
         }
         let (ticket, granted) = self.enqueue(call, except, waiting);
-        node.peers.changed();
+        node.peers.notify_changed();
         let _queue_guard = QueueGuard {
             dispatcher: self,
             ticket,
--- a/crates/pinerill-forward/src/dispatch/zone.rs
+++ b/crates/pinerill-forward/src/dispatch/zone.rs
@@ -110,7 +110,7 @@
         let Some((peer, key)) = promised else {
             return false;
         };
-        node.peers.promise(peer, key);
+        node.peers.send_promise(peer, key);
         broadcast_after(node, time);
         true
     }
@@ -155,6 +155,6 @@
     let node = node.clone();
     runtime.spawn(async move {
         sleep(time).await;
-        node.peers.changed();
+        node.peers.notify_changed();
     });
 }
--- a/crates/pinerill-forward/src/node.rs
+++ b/crates/pinerill-forward/src/node.rs
@@ -18,7 +18,7 @@
 use crate::cluster::ClusterClient;
 use crate::confirmation::HealthChecks;
 use crate::crash::broken_runs::CrashEvidence;
-use crate::crash::CrashDesk;
+use crate::crash::CrashTracker;
 use crate::dispatch::Dispatcher;
 use crate::exchange::{BreakReason, ConnectionPool};
 use crate::fleet::{BatchCapacity, Chosen, Fleet, Prompt, SlowStartPermit, Wanted};
@@ -60,7 +60,7 @@
     connections: Arc<ConnectionPool>,
     pub(crate) dispatcher: Dispatcher,
     pub(crate) runs: Arc<Runs>,
-    pub(crate) crashes: CrashDesk,
+    pub(crate) crashes: CrashTracker,
     pub(crate) health_checks: HealthChecks,
     pub(crate) waking: ResumeGate,
     pub(crate) quota: NodeQuota,
@@ -102,7 +102,7 @@
             connections: Arc::default(),
             dispatcher: Dispatcher::default(),
             runs: Arc::default(),
-            crashes: CrashDesk::default(),
+            crashes: CrashTracker::default(),
             health_checks: HealthChecks::default(),
             waking: ResumeGate::default(),
             quota: NodeQuota::default(),
@@ -249,8 +249,8 @@
             fleet.remember_prompt(now_ms, &worker, prompt);
             fleet.begin(now_ms, &worker, chosen.prefill_ms)
         });
-        self.peers.tell_prompt(&worker, chosen.prefill_ms);
-        self.peers.changed();
+        self.peers.broadcast_prompt(&worker, chosen.prefill_ms);
+        self.peers.notify_changed();
         Occupied {
             node: self.clone(),
             worker,
@@ -274,10 +274,10 @@
             self.with_fleet(|fleet, _| fleet.was_gone(worker));
         }
         if reason.is_unresponsive() {
-            self.peers.tell_no_answer(worker);
+            self.peers.broadcast_no_answer(worker);
         }
         if reason.is_disconnect() {
-            self.peers.tell_broke(worker);
+            self.peers.broadcast_connection_loss(worker);
         }
         self.with_fleet(|fleet, now_ms| fleet.failed(now_ms, worker));
     }
@@ -292,7 +292,7 @@
     fn worker_is_gone(&self, worker: &str, evidence: CrashEvidence) {
         let entry = self.with_fleet(|fleet, _| Some(fleet.worker(worker)?.entry().clone()));
         if let Some(entry) = entry {
-            self.worker_crashed(&entry, evidence);
+            self.record_worker_crash(&entry, evidence);
         }
     }
 
@@ -337,7 +337,7 @@
             || dispatcher.promise_freed_slot(&self.node, &self.worker);
         if !is_taken {
             self.node.dispatcher.changed.notify_one();
-            self.node.peers.changed();
+            self.node.peers.notify_changed();
         }
     }
 }
--- a/crates/pinerill-forward/src/peers/tell.rs
+++ b/crates/pinerill-forward/src/peers/broadcast.rs
@@ -66,7 +66,7 @@
 }
 
 /// Tells the nodes of the zone what is in flight and lacking here, whenever it changes.
-pub(crate) async fn tell(node: Arc<Node>) {
+pub(crate) async fn broadcast_counts(node: Arc<Node>) {
     let mut idle_told = false;
     let mut sequence = Sequence::new();
     loop {
@@ -91,7 +91,7 @@
 }
 
 /// Tells relays of other zones what is in flight in this one, while this node is a relay.
-pub(crate) async fn tell_zones(node: Arc<Node>) {
+pub(crate) async fn broadcast_zone_counts(node: Arc<Node>) {
     let mut sequence = Sequence::new();
     loop {
         let Some(relays) = node.peers.told_relays() else {
--- a/crates/pinerill-forward/src/peers/crashes.rs
+++ b/crates/pinerill-forward/src/peers/crashes.rs
@@ -65,7 +65,7 @@
 }
 
 /// Tells a few others again, until the node ends.
-pub(crate) async fn tell_crashes(node: Arc<Node>) {
+pub(crate) async fn resend_crash_reports(node: Arc<Node>) {
     loop {
         sleep(PAUSE).await;
         let reports = node.crashes_to_tell();
--- a/crates/pinerill-forward/src/peers/mod.rs
+++ b/crates/pinerill-forward/src/peers/mod.rs
@@ -16,7 +16,7 @@
 //! | node | nodes of its zone | counts, calls that wait ([`message::PeerMessage::InFlight`]) | at each change, at a pace that falls with their number |
 //! | node | nodes of its zone | long prompts, workers that did not answer | each |
 //! | node | one node of its zone | a place that became free | while calls wait there |
-//! | relay | one relay of each other zone, and from there to all its nodes | counts of the zone | each [`tell::PAUSE_PER_ZONE`] times the other zones, while they change |
+//! | relay | one relay of each other zone, and from there to all its nodes | counts of the zone | each [`broadcast::PAUSE_PER_ZONE`] times the other zones, while they change |
 //! | node | nodes of its zone, by relays and bridges all others | crashes of workers under requests ([`crashes`]) | each, and again for a while |
 //!
 //! Zones are those of the node's cell ([`pinerill_calls::cells`]). What all nodes must hear
@@ -29,10 +29,10 @@
 //! 0.923 and 0.950 (one run before, two after; with the places that are promised by
 //! [`crate::dispatch::demand`] and the shorter waits for connections).
 
+mod broadcast;
 mod crashes;
-mod hear;
 mod message;
-mod tell;
+mod receive;
 
 use std::io;
 use std::net::SocketAddr;
@@ -46,9 +46,9 @@
 use self::message::PeerMessage;
 use crate::fleet::WorkerKey;
 
-pub(crate) use crashes::tell_crashes;
-pub(crate) use hear::hear;
-pub(crate) use tell::{promise_time, tell, tell_zones};
+pub(crate) use broadcast::{broadcast_counts, broadcast_zone_counts, promise_time};
+pub(crate) use crashes::resend_crash_reports;
+pub(crate) use receive::receive;
 
 /// Prompts that take less time are not told, milliseconds.
 const TOLD_FROM_MS: f64 = 10.0;
@@ -114,13 +114,13 @@
     }
 
     /// What is in flight or waits here has changed.
-    pub(crate) fn changed(&self) {
+    pub(crate) fn notify_changed(&self) {
         self.changed.notify_one();
         self.zone_changed.notify_one();
     }
 
     /// Tells the others of a prompt.
-    pub(crate) fn tell_prompt(&self, worker: &str, prefill_ms: f64) {
+    pub(crate) fn broadcast_prompt(&self, worker: &str, prefill_ms: f64) {
         if prefill_ms < TOLD_FROM_MS {
             return;
         }
@@ -131,21 +131,21 @@
     }
 
     /// Tells the others that a worker did not answer.
-    pub(crate) fn tell_no_answer(&self, worker: &str) {
+    pub(crate) fn broadcast_no_answer(&self, worker: &str) {
         self.send_near(&PeerMessage::NoAnswer {
             worker: WorkerKey::of(worker),
         });
     }
 
     /// Tells the others that a worker ended a connection on which it had a request.
-    pub(crate) fn tell_broke(&self, worker: &str) {
+    pub(crate) fn broadcast_connection_loss(&self, worker: &str) {
         self.send_near(&PeerMessage::Broke {
             worker: WorkerKey::of(worker),
         });
     }
 
     /// Promises a place to a node of this zone.
-    pub(crate) fn promise(&self, to: SocketAddr, worker: WorkerKey) {
+    pub(crate) fn send_promise(&self, to: SocketAddr, worker: WorkerKey) {
         self.send(&PeerMessage::PlaceFree { worker }, Reach::Near, [to]);
     }
 
--- a/crates/pinerill-forward/src/peers/hear.rs
+++ b/crates/pinerill-forward/src/peers/receive.rs
@@ -10,7 +10,7 @@
 use crate::node::Node;
 
 /// Takes in what the others tell until the node ends.
-pub(crate) async fn hear(node: Arc<Node>) {
+pub(crate) async fn receive(node: Arc<Node>) {
     let mut datagram = [0; DATAGRAM_BYTES];
     loop {
         let Ok((length, from)) = node.peers.socket.recv_from(&mut datagram).await else {
--- a/crates/pinerill-forward/src/run.rs
+++ b/crates/pinerill-forward/src/run.rs
@@ -16,7 +16,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use crate::cluster::{self, ClusterClient};
-use crate::crash::with_blocked_requests;
+use crate::crash::mount_blocked_requests;
 use crate::exchange::ConnectionPool;
 use crate::fleet::{ChoiceSettings, Fleet};
 use crate::monitoring::Metrics;
@@ -68,20 +68,23 @@
     )?;
     let node = Arc::new(node);
     let probes = Server::start(ready_listen, monitoring_server(ready_listen, node.clone())).await?;
-    let admin_server = with_blocked_requests(monitoring_server(admin, node.clone()), node.clone());
+    let admin_server = mount_blocked_requests(monitoring_server(admin, node.clone()), node.clone());
     let metrics = Server::start(admin, admin_server).await?;
     log::info!(
         event = "started", node = node.settings.name.as_str(),
         address:% = node.settings.listen; ""
     );
     let spawn = |work| AbortOnDropHandle::<()>::new(tokio::spawn(work));
-    let following = spawn(boxed(cluster::follow(node.clone(), protocols.worker_list)));
+    let following = spawn(boxed(cluster::follow_leader(
+        node.clone(),
+        protocols.worker_list,
+    )));
     let mut items = spawn(boxed(batch::run(node.clone())));
     let reloading = spawn(boxed(follow_settings(node.clone(), file)));
-    let hearing = spawn(boxed(peers::hear(node.clone())));
-    let telling = spawn(boxed(peers::tell(node.clone())));
-    let telling_zones = spawn(boxed(peers::tell_zones(node.clone())));
-    let telling_crashes = spawn(boxed(peers::tell_crashes(node.clone())));
+    let hearing = spawn(boxed(peers::receive(node.clone())));
+    let telling = spawn(boxed(peers::broadcast_counts(node.clone())));
+    let telling_zones = spawn(boxed(peers::broadcast_zone_counts(node.clone())));
+    let telling_crashes = spawn(boxed(peers::resend_crash_reports(node.clone())));
     let placing = spawn(boxed(dispatch::run(node.clone())));
     let borrowing = spawn(boxed(quota::borrow(node.clone())));
     let borrowing_slow_starts = spawn(boxed(slow_start::borrow(node.clone())));
@@ -165,7 +168,7 @@
                 let seeds = settings.node.map(|node| node.seed_addresses());
                 let seeds = seeds.unwrap_or_default();
                 log::info!(event = "settings_reloaded", seeds:? = seeds; "");
-                node.cluster.learn(seeds);
+                node.cluster.update_addresses(seeds);
                 node.beliefs.told_by_others.store(true, Ordering::Relaxed);
             }
             Err(error) => log::warn!(event = "settings_refused", error:%; ""),
--- a/crates/pinerill-forward/tests/cluster_client.rs
+++ b/crates/pinerill-forward/tests/cluster_client.rs
@@ -100,7 +100,7 @@
     let (silent, connected) = start_silent().await;
     let (leader, _) = start(None).await;
     let client = ClusterClient::new(identity(Role::Node), &[leader]);
-    client.learn_zones(vec![near(silent), far(leader)]);
+    client.update_control_machines(vec![near(silent), far(leader)]);
     let request = CallsRequest::EndJob(CallJobId::new(None, "j"));
     let calls = (0..10).map(|_| client.call_near(&request, LONG, Duration::ZERO));
     let answers = futures_util::future::join_all(calls).await;
@@ -163,7 +163,7 @@
         is_member: false,
         ..near(stranger)
     };
-    client.learn_zones(vec![no_member, near(member), far(leader)]);
+    client.update_control_machines(vec![no_member, near(member), far(leader)]);
     let request = CallsRequest::EndJob(CallJobId::new(None, "j"));
     let answer = client.call_near(&request, LONG, Duration::ZERO).await;
     assert!(answer.is_ok());
