--- a/crates/pinerill-forward/src/cluster/client.rs
+++ b/crates/pinerill-forward/src/cluster/client.rs
@@ -1,4 +1,7 @@
-//! Asks the control machines; follows the leader.
+//! Sends requests to the control machines, preferring the leader and following its redirects.
+//!
+//! Nodes use it for watches, jobs and leases. A request is retried at other machines until its
+//! time is up; the result says whether an earlier attempt may have been carried out.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,50 +22,50 @@
 
 use super::older_leader::OlderLeader;
 
-/// Pause before the next machine is asked.
+/// Pause between two attempts, unless the failed one named another leader.
 const RETRY_PAUSE: Duration = Duration::from_millis(40);
-/// Longest wait for one machine beyond the time that it may hold the answer.
-const TRY_TIME: Duration = Duration::from_millis(900);
-/// Longest time to connect.
-const CONNECT_TIME: Duration = Duration::from_millis(400);
+/// Longest wait for the answer of one machine, in addition to the long poll time.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(900);
+/// Longest time for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// After a failure an address is not asked again for this time, unless there is
-/// no other: whoever needs an answer must not wait for a machine that others
-/// have just waited for.
+/// Time for which an address is skipped after it failed to answer, unless there is no other. It
+/// keeps further requests from waiting for a machine that a request has just timed out on.
 const AVOID_TIME: Duration = Duration::from_millis(700);
 
-type Slot = Arc<AsyncMutex<Option<Connection>>>;
+/// Connection to one address; the lock is held while it is being opened.
+type SharedConnection = Arc<AsyncMutex<Option<Connection>>>;
 
-/// A request without an answer.
+/// Failure of a request at all machines that it was sent to.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{message}")]
 pub struct CallFailure {
-    /// Whether it may have been carried out.
+    /// Whether the request may have been carried out by one of the attempts.
     pub maybe_done: bool,
-    /// It can't be right.
+    /// Whether the machine rejected the request as invalid; such a request is not retried.
     pub invalid: bool,
-    /// The last error, with its step and peer.
+    /// The error of the last attempt, with its step and peer.
     pub message: String,
 }
 
-/// An answer, and whether an earlier try may have been carried out too.
+/// The answer to a request, and what is known of earlier attempts.
 #[derive(Debug)]
 pub struct Answered {
-    /// The answer.
+    /// Decoded answer, translated to the present format.
     pub response: CallsResponse,
-    /// Another try may have been carried out.
+    /// Whether an earlier attempt may have been carried out too.
     pub maybe_done_before: bool,
-    /// When the machine that answered was asked.
-    pub asked: BootTime,
-    /// The newest format that it reads and this build knows.
+    /// When the successful attempt began.
+    pub sent_at: BootTime,
+    /// Newest message format that both the answering machine and this build support.
     pub format: Format,
 }
 
-/// Connections to control machines, opened when first needed.
+/// Client of the control machines. Opens one connection per machine when it is first needed.
 pub struct ClusterClient {
     identity: Identity,
     addresses: Mutex<Addresses>,
-    connections: Mutex<HashMap<SocketAddr, Slot>>,
+    connections: Mutex<HashMap<SocketAddr, SharedConnection>>,
     formats: PeerFormats,
     older_leader: Mutex<OlderLeader>,
     counters: Arc<LinkCounters>,
@@ -71,13 +74,13 @@
 #[derive(Debug)]
 struct Addresses {
     known: Vec<SocketAddr>,
-    next: usize,
+    rotation: usize,
     leader: Option<SocketAddr>,
-    /// Those of this node's zone that hold the group's state.
-    near: Vec<SocketAddr>,
-    /// Zones of all those that hold it.
+    /// Group members in this node's zone.
+    near_members: Vec<SocketAddr>,
+    /// Zones of all group members.
     member_zones: Vec<String>,
-    /// Until when those that failed are avoided.
+    /// Addresses that failed to answer, with the time until which they are skipped.
     avoided: HashMap<SocketAddr, BootTime>,
 }
 
@@ -87,38 +90,39 @@
         until.is_some_and(|until| *until > BootTime::now())
     }
 
-    /// The leader if it answers, otherwise each in turn; those that failed a
-    /// moment ago only if there is no other.
+    /// Returns the address for the next attempt: the known leader, otherwise the next address in
+    /// rotation. Skips avoided addresses unless all are avoided.
     fn next(&mut self) -> SocketAddr {
         if let Some(leader) = self.leader.filter(|leader| !self.is_avoided(leader)) {
             return leader;
         }
         for _ in 0..self.known.len() {
-            let address = self.turn();
+            let address = self.next_in_rotation();
             if !self.is_avoided(&address) {
                 return address;
             }
         }
-        self.turn()
+        self.next_in_rotation()
     }
 
-    fn turn(&mut self) -> SocketAddr {
-        self.next = self.next.wrapping_add(1);
-        self.known[self.next % self.known.len()]
+    fn next_in_rotation(&mut self) -> SocketAddr {
+        self.rotation = self.rotation.wrapping_add(1);
+        self.known[self.rotation % self.known.len()]
     }
 }
 
 impl ClusterClient {
-    /// A client that knows some control machines.
+    /// Creates a client that initially knows the given addresses of control machines. Requests
+    /// panic if `seeds` is empty.
     pub fn new(identity: Identity, seeds: &[SocketAddr]) -> Self {
-        let next = rand::random::<u32>() as usize;
+        let rotation = rand::random::<u32>() as usize;
         ClusterClient {
             identity,
             addresses: Mutex::new(Addresses {
                 known: seeds.to_vec(),
-                next,
+                rotation,
                 leader: None,
-                near: Vec::new(),
+                near_members: Vec::new(),
                 member_zones: Vec::new(),
                 avoided: HashMap::new(),
             }),
@@ -129,7 +133,7 @@
         }
     }
 
-    /// Takes in which control machines there are, and where.
+    /// Replaces the known control machines, with their zones and group membership.
     pub fn update_control_machines(&self, controls: Vec<ControlAddress>) {
         let near = controls
             .iter()
@@ -139,16 +143,16 @@
         let member_zones = members.map(|one| one.zone.clone()).collect();
         self.update_addresses(controls.into_iter().map(|one| one.address).collect());
         let mut addresses = self.addresses.lock();
-        addresses.near = near;
+        addresses.near_members = near;
         addresses.member_zones = member_zones;
     }
 
-    /// Zones of the control machines that hold the group's state, as far as they are known.
+    /// Returns the zones of the group members; empty before the first update of the machines.
     pub fn member_zones(&self) -> Vec<String> {
         self.addresses.lock().member_zones.clone()
     }
 
-    /// Takes in which control machines there are.
+    /// Replaces the known addresses and drops the connections to removed ones. Ignores an empty list.
     pub fn update_addresses(&self, known: Vec<SocketAddr>) {
         if known.is_empty() {
             return;
@@ -160,21 +164,22 @@
         }
     }
 
-    /// Addresses of the control machines that are known.
+    /// Returns the addresses of all known control machines.
     pub fn known_addresses(&self) -> Vec<SocketAddr> {
         self.addresses.lock().known.clone()
     }
 
-    /// Asks the leader, following hints and trying others, until `time` is up.
-    /// `hold` is how long the machine may hold its answer.
+    /// Sends a request to the leader, following redirects and falling back to other machines,
+    /// until `time` is up. `long_poll` is how long the machine may delay its answer (long poll).
     ///
     /// # Errors
-    /// [`CallFailure`] with the last error.
+    /// Returns [`CallFailure`] with the last error when `time` is up, or at once if a machine
+    /// rejects the request as invalid.
     pub async fn call(
         &self,
         request: &CallsRequest,
         time: Duration,
-        hold: Duration,
+        long_poll: Duration,
     ) -> Result<Answered, CallFailure> {
         let deadline = BootTime::now() + time;
         let mut failure = CallFailure {
@@ -188,20 +193,20 @@
                 return Err(failure);
             }
             let address = self.addresses.lock().next();
-            let limit = left.min(TRY_TIME + hold);
-            let asked = BootTime::now();
-            match self.call_at(address, request, limit).await {
+            let limit = left.min(ATTEMPT_TIMEOUT + long_poll);
+            let sent_at = BootTime::now();
+            match self.call_address(address, request, limit).await {
                 Ok(answer) => {
                     self.addresses.lock().leader = Some(address);
                     return Ok(Answered {
                         response: answer.response,
                         maybe_done_before: failure.maybe_done,
-                        asked,
+                        sent_at,
                         format: answer.format,
                     });
                 }
                 Err(error) => {
-                    let hinted = self.take_in(address, &error);
+                    let hinted = self.handle_failure(address, &error);
                     failure.maybe_done |= may_be_done(&error);
                     failure.invalid = is_invalid(&error);
                     failure.message = error.to_string();
@@ -216,42 +221,42 @@
         }
     }
 
-    /// Asks a member of the group in this node's zone something that any one can
-    /// answer; the leader if there is none or it doesn't answer. A machine that is no
-    /// member would only refuse.
+    /// Sends a request that any group member can answer to a member in this node's zone. Falls
+    /// back to [`ClusterClient::call`] if there is none or it fails. Machines outside the group
+    /// are not used, since they would only refuse.
     ///
     /// # Errors
-    /// [`CallFailure`] with the last error.
+    /// Returns [`CallFailure`] with the last error.
     pub async fn call_near(
         &self,
         request: &CallsRequest,
         time: Duration,
-        hold: Duration,
+        long_poll: Duration,
     ) -> Result<Answered, CallFailure> {
         let near = {
             let addresses = self.addresses.lock();
-            let mut near = addresses.near.iter();
+            let mut near = addresses.near_members.iter();
             near.find(|one| !addresses.is_avoided(one)).copied()
         };
         if let Some(address) = near {
-            let limit = time.min(TRY_TIME + hold);
-            let asked_at = BootTime::now();
-            match self.call_at(address, request, limit).await {
+            let limit = time.min(ATTEMPT_TIMEOUT + long_poll);
+            let sent_at = BootTime::now();
+            match self.call_address(address, request, limit).await {
                 Ok(answer) => {
                     return Ok(Answered {
                         response: answer.response,
                         maybe_done_before: false,
-                        asked: asked_at,
+                        sent_at,
                         format: answer.format,
                     });
                 }
                 Err(error) => self.avoid_if_lost(address, &error),
             }
         }
-        self.call(request, time, hold).await
+        self.call(request, time, long_poll).await
     }
 
-    async fn call_at(
+    async fn call_address(
         &self,
         address: SocketAddr,
         request: &CallsRequest,
@@ -265,8 +270,11 @@
             decode_response(&bytes).map_err(|error| unreadable_answer(address, error))?;
         let response = match response {
             CallsResponse::Watch(watch) if format != Format::NEWEST => {
-                let place = directory_position(&bytes).filter(|_| format < Format::DIGESTS);
-                let watch = self.older_leader.lock().take_in(format, place, *watch);
+                let position = directory_position(&bytes).filter(|_| format < Format::DIGESTS);
+                let watch = self
+                    .older_leader
+                    .lock()
+                    .translate_response(format, position, *watch);
                 CallsResponse::Watch(Box::new(watch))
             }
             response => response,
@@ -274,8 +282,9 @@
         Ok(FormattedAnswer { response, format })
     }
 
-    /// A watch names what is held as an older leader names it; other requests differ in their
-    /// form alone.
+    /// Encodes a request in the given format. In a watch, the digests of the directory and the
+    /// processes are translated to those of an older leader; other requests differ only in their
+    /// encoding.
     fn encode(
         &self,
         format: Format,
@@ -288,9 +297,12 @@
         if format == Format::NEWEST {
             return encode_for(request.clone(), format, address);
         }
-        let (watch, place) = self.older_leader.lock().asked(format, watch.clone());
+        let (watch, position) = self
+            .older_leader
+            .lock()
+            .translate_request(format, watch.clone());
         match format < Format::DIGESTS {
-            true => Ok(encode_positioned_watch(watch, place)),
+            true => Ok(encode_positioned_watch(watch, position)),
             false => encode_for(CallsRequest::Watch(watch), format, address),
         }
     }
@@ -311,7 +323,7 @@
             return Err(not_connected(address));
         }
         let opening = Connection::open(address, &self.identity, self.counters.clone());
-        let opened = tokio::time::timeout(CONNECT_TIME, opening).await;
+        let opened = tokio::time::timeout(CONNECT_TIMEOUT, opening).await;
         let opened = opened.unwrap_or_else(|_| Err(not_connected(address)));
         match opened {
             Ok(opened) => {
@@ -319,14 +331,15 @@
                 Ok(opened)
             }
             Err(error) => {
-                // Noted while the slot is held, for those that wait for it.
+                // Recorded before the lock is released, so that requests that wait for it fail at
+                // once and do not connect again.
                 self.avoid_if_lost(address, &error);
                 Err(error)
             }
         }
     }
 
-    /// A machine that refuses is there; one that doesn't answer is avoided.
+    /// Marks an address as avoided after an error, unless the machine answered with a refusal.
     fn avoid_if_lost(&self, address: SocketAddr, error: &CallError) {
         if matches!(error.kind, CallErrorKind::Refused(_)) {
             return;
@@ -335,8 +348,9 @@
         self.addresses.lock().avoided.insert(address, until);
     }
 
-    /// Notes what a failure says of the leader; true if it named another one.
-    fn take_in(&self, address: SocketAddr, error: &CallError) -> bool {
+    /// Updates the known leader after a failed attempt. Returns whether the machine named another
+    /// leader that is not avoided.
+    fn handle_failure(&self, address: SocketAddr, error: &CallError) -> bool {
         self.avoid_if_lost(address, error);
         let mut addresses = self.addresses.lock();
         let hint = match &error.kind {
--- a/crates/pinerill-forward/src/cluster/mod.rs
+++ b/crates/pinerill-forward/src/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! The node's side towards control machines: calls, the route table and the
-//! directory.
+//! Communication of a node with the control machines: requests, and the watch that receives the
+//! route table, the worker directory and the addresses of other processes.
 
 mod client;
 pub mod list_pace;
--- a/crates/pinerill-forward/src/cluster/older_leader.rs
+++ b/crates/pinerill-forward/src/cluster/older_leader.rs
@@ -1,8 +1,8 @@
-//! Watches between this node and a leader of an older build.
+//! Translates watches between this node and a leader of an older build.
 //!
-//! Such a leader names directories and processes by digests of its own format, or by places in
-//! its own changes, and does not tell what this build asks for. This turns what it tells into
-//! the present form, and remembers how it named it.
+//! Such a leader identifies directories and processes by digests of its own format, or by positions
+//! in its own sequence of changes. Its responses are translated to the present format, and its
+//! identifiers are kept, so that the next watch request can name what this node already has.
 
 use pinerill_calls::digest::Digest;
 use pinerill_calls::directory::{Directory, DirectoryChange, DirectoryMismatch, DirectoryUpdate};
@@ -10,56 +10,59 @@
 use pinerill_calls::message::{Format, Processes, WatchRequest, WatchResponse};
 use pinerill_calls::packed::Packed;
 
-/// What a leader of an older build told last.
+/// State received from a leader of an older build, with the identifiers that the leader uses.
 #[derive(Debug, Default)]
 pub struct OlderLeader {
     format: Option<Format>,
-    directory: Option<ToldDirectory>,
-    processes: Option<ToldProcesses>,
+    directory: Option<ReceivedDirectory>,
+    processes: Option<ReceivedProcesses>,
 }
 
 #[derive(Debug)]
-struct ToldDirectory {
-    /// As that leader names it.
-    named: Digest,
-    /// Its place in that leader's changes, which format 4 tells instead.
-    place: Option<DirectoryPosition>,
+struct ReceivedDirectory {
+    /// Digest of the directory in the leader's format.
+    leader_digest: Digest,
+    /// Position in the leader's sequence of changes, which format 4 uses instead of a digest.
+    position: Option<DirectoryPosition>,
     directory: Directory,
 }
 
 #[derive(Debug)]
-struct ToldProcesses {
-    /// As that leader names them.
-    named: Digest,
-    /// As this build names them.
-    present: Digest,
+struct ReceivedProcesses {
+    /// Digest of the processes in the leader's format.
+    leader_digest: Digest,
+    /// Digest of the processes in the present format.
+    own_digest: Digest,
 }
 
 impl OlderLeader {
-    /// A watch in the leader's names, with the place of the directory that is held: what the
-    /// leader did not tell itself is not named.
-    pub fn asked(
+    /// Translates the digests of a watch request to those of the leader's format, and returns the
+    /// position of the known directory with it. A digest is removed if the state did not come from
+    /// a leader of this format, so that the leader sends that state in full.
+    pub fn translate_request(
         &self,
         format: Format,
         mut watch: WatchRequest,
     ) -> (WatchRequest, Option<DirectoryPosition>) {
-        let told = self.format == Some(format);
+        let same_format = self.format == Some(format);
         let directory = self
             .directory
             .as_ref()
-            .filter(|one| told && watch.directory == Some(one.directory.digest()));
+            .filter(|one| same_format && watch.directory == Some(one.directory.digest()));
         let processes = self.processes.as_ref();
-        let processes = processes.filter(|one| told && watch.processes == Some(one.present));
-        watch.directory = directory.map(|one| one.named);
-        watch.processes = processes.map(|one| one.named);
-        (watch, directory.and_then(|one| one.place))
+        let processes =
+            processes.filter(|one| same_format && watch.processes == Some(one.own_digest));
+        watch.directory = directory.map(|one| one.leader_digest);
+        watch.processes = processes.map(|one| one.leader_digest);
+        (watch, directory.and_then(|one| one.position))
     }
 
-    /// The present form of an answer.
-    pub fn take_in(
+    /// Translates a watch response to the present format. A directory update that can't be applied
+    /// is dropped.
+    pub fn translate_response(
         &mut self,
         format: Format,
-        place: Option<DirectoryPosition>,
+        position: Option<DirectoryPosition>,
         mut response: WatchResponse,
     ) -> WatchResponse {
         if self.format != Some(format) {
@@ -70,25 +73,27 @@
         }
         if let Some(packed) = response.directory.take() {
             let update = packed.unpack().ok();
-            let told = update.and_then(|update| self.take_directory(format, place, update).ok());
-            response.directory = told.as_ref().map(Packed::new);
+            let translated = update
+                .and_then(|update| self.apply_directory_update(format, position, update).ok());
+            response.directory = translated.as_ref().map(Packed::new);
         }
         response.processes = response
             .processes
-            .and_then(|processes| self.take_processes(format, processes));
+            .and_then(|processes| self.store_processes(format, processes));
         response
     }
 
-    /// The whole directory that an update leads to. After one that doesn't fit, nothing is
-    /// held, so that the whole is asked for.
-    fn take_directory(
+    /// Applies a directory update and returns the resulting directory as a full update. If the
+    /// update does not apply, the stored directory is dropped, so that the next watch requests it
+    /// in full.
+    fn apply_directory_update(
         &mut self,
         format: Format,
-        place: Option<DirectoryPosition>,
+        position: Option<DirectoryPosition>,
         update: DirectoryUpdate,
     ) -> Result<DirectoryUpdate, DirectoryMismatch> {
         let held = self.directory.take();
-        let named = update.digest;
+        let leader_digest = update.digest;
         let directory = match update.change {
             DirectoryChange::Whole(workers) => Directory::new(workers),
             change => {
@@ -97,29 +102,29 @@
             }
         };
         let by_digest = format >= Format::DIGESTS;
-        if by_digest && directory.digest_in_format(format) != named {
+        if by_digest && directory.digest_in_format(format) != leader_digest {
             return Err(DirectoryMismatch);
         }
-        let told = DirectoryUpdate {
+        let full_update = DirectoryUpdate {
             digest: directory.digest(),
             change: DirectoryChange::Whole(directory.workers().to_vec()),
         };
-        self.directory = Some(ToldDirectory {
-            named,
-            place,
+        self.directory = Some(ReceivedDirectory {
+            leader_digest,
+            position,
             directory,
         });
-        Ok(told)
+        Ok(full_update)
     }
 
-    /// The processes, if they are others than were told last.
-    fn take_processes(&mut self, format: Format, processes: Processes) -> Option<Processes> {
-        let present = Digest::of(&processes);
-        let known = self.processes.as_ref().map(|one| one.present);
-        self.processes = Some(ToldProcesses {
-            named: older_processes_digest(format, &processes),
-            present,
+    /// Stores the processes. Returns `None` if they are the same as those received before.
+    fn store_processes(&mut self, format: Format, processes: Processes) -> Option<Processes> {
+        let own_digest = Digest::of(&processes);
+        let known = self.processes.as_ref().map(|one| one.own_digest);
+        self.processes = Some(ReceivedProcesses {
+            leader_digest: older_processes_digest(format, &processes),
+            own_digest,
         });
-        (known != Some(present)).then_some(processes)
+        (known != Some(own_digest)).then_some(processes)
     }
 }
--- a/crates/pinerill-forward/src/cluster/watch.rs
+++ b/crates/pinerill-forward/src/cluster/watch.rs
@@ -1,6 +1,8 @@
-//! Follows the leader: route table, directory, control machines. While no
-//! control machine answers, or the leader is of a build that does not tell how old its
-//! directory is, the node reads the platform list itself, slowly.
+//! Keeps the node's route table, worker directory and list of processes up to date by long-polling
+//! the leader.
+//!
+//! The node reads the platform's worker list itself, at a limited rate, while no control machine
+//! answers or while the leader is of an older build that does not send the age of its directory.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -27,38 +29,37 @@
 use crate::fleet::GoneWorker;
 use crate::node::Node;
 
-/// How long the leader may hold an answer.
-const HOLD: Duration = Duration::from_millis(500);
-/// How long the node asks around before it counts the control machines as
-/// lost.
-const ASK_TIME: Duration = Duration::from_millis(2_500);
-/// Pause between two log lines that say that no control machine answers: a few
-/// lines a minute of each node.
+/// Longest time for which the leader may delay its answer to a watch.
+const LONG_POLL: Duration = Duration::from_millis(500);
+/// Time without an answer from any control machine after which a watch request fails.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Pause between two log lines about unreachable control machines. It limits each node to a few
+/// lines per minute.
 const FAILURE_LOG_PAUSE: Duration = Duration::from_secs(5);
-/// Pause after no control machine answered.
-const LOST_PAUSE: Duration = Duration::from_millis(100);
-/// Time without an answer after which the platform list is read here.
-const LIST_AFTER: Duration = Duration::from_millis(3_000);
-/// Longest wait for one page.
-const PAGE_TIME: Duration = Duration::from_millis(1_000);
-/// Pages of one reading; more can't be right.
-const PAGE_LIMIT: usize = 1_000;
+/// Pause after a failed watch request.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Time without an answer from a control machine after which the node reads the worker list.
+const LIST_READ_DELAY: Duration = Duration::from_millis(3_000);
+/// Timeout for one page of the worker list.
+const PAGE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Limit on the pages of one read; more pages indicate a faulty list.
+const MAX_PAGES: usize = 1_000;
 
-/// Follows the leader until the node stops.
+/// Watches the leader, and reads the worker list itself when needed, until the node stops.
 pub(crate) async fn follow_leader(node: Arc<Node>, list: Arc<dyn WorkerListProtocol>) {
     let watching = watch(node.clone());
-    let reading = read_list_while_lost(node, list);
+    let reading = read_list_when_needed(node, list);
     tokio::join!(watching, reading);
 }
 
 async fn watch(node: Arc<Node>) {
-    let mut held = Held::default();
+    let mut state = WatchState::default();
     let mut reachability = Reachability::default();
     loop {
         if node.beliefs.told_by_others.swap(false, Ordering::Relaxed) {
-            held = Held {
-                cell: held.cell,
-                ..Held::default()
+            state = WatchState {
+                cell: state.cell,
+                ..WatchState::default()
             };
         }
         let request = CallsRequest::Watch(WatchRequest {
@@ -66,60 +67,60 @@
             zone: node.settings.zone.clone(),
             peer: node.settings.peer_listen,
             table_version: node.table().map(|index| index.table().version),
-            directory: held.directory.as_ref().map(Directory::digest),
-            processes: held.processes,
+            directory: state.directory.as_ref().map(Directory::digest),
+            processes: state.processes,
             evacuations: node.with_fleet(|fleet, _| fleet.evacuations_revision()),
-            cell: held.cell,
-            wait_ms: HOLD.as_millis() as u64,
+            cell: state.cell,
+            wait_ms: LONG_POLL.as_millis() as u64,
         });
-        let answer = node.cluster.call(&request, ASK_TIME, HOLD).await;
+        let answer = node.cluster.call(&request, WATCH_TIMEOUT, LONG_POLL).await;
         let failure = match answer {
             Ok(answered) => {
                 if let CallsResponse::Watch(response) = answered.response {
-                    reachability.heard(&node);
+                    reachability.record_answer(&node);
                     let is_dated = answered.format >= Format::DIRECTORY_AGE;
-                    take_in(&node, answered.asked, is_dated, *response, &mut held);
-                    node.waking.record_refresh(answered.asked);
+                    apply_watch_response(&node, answered.sent_at, is_dated, *response, &mut state);
+                    node.waking.record_refresh(answered.sent_at);
                 }
                 continue;
             }
             Err(failure) => failure,
         };
-        reachability.failed(&node, &failure.message);
-        sleep(LOST_PAUSE).await;
+        reachability.record_failure(&node, &failure.message);
+        sleep(RETRY_PAUSE).await;
     }
 }
 
-/// Whether the leader answers, as far as it was told in the log.
+/// Logs when the control machines become reachable or unreachable.
 #[derive(Default)]
 struct Reachability {
-    /// What the log says; none before the first line of this process.
-    told: Option<bool>,
-    /// When the last failure was logged.
+    /// State that was logged last; `None` before the first log line.
+    logged: Option<bool>,
+    /// When a failure was last logged.
     failure_logged: Option<BootTime>,
 }
 
 impl Reachability {
-    fn heard(&mut self, node: &Node) {
+    fn record_answer(&mut self, node: &Node) {
         node.beliefs
             .control_heard_ms
             .store(node.now_ms(), Ordering::Relaxed);
-        if self.told != Some(true) {
-            self.told = Some(true);
+        if self.logged != Some(true) {
+            self.logged = Some(true);
             log::info!(event = "control_reachable", reachable = true; "");
         }
     }
 
-    /// Logs the first failure and then one each [`FAILURE_LOG_PAUSE`], since
-    /// later ones may have other causes than the first.
-    fn failed(&mut self, node: &Node, message: &str) {
+    /// Logs the first failure at once and later ones every [`FAILURE_LOG_PAUSE`], since they may
+    /// have other causes than the first.
+    fn record_failure(&mut self, node: &Node, message: &str) {
         let due = self
             .failure_logged
             .is_none_or(|at| at.elapsed() >= FAILURE_LOG_PAUSE);
-        if self.told == Some(false) && !due {
+        if self.logged == Some(false) && !due {
             return;
         }
-        self.told = Some(false);
+        self.logged = Some(false);
         self.failure_logged = Some(BootTime::now());
         let asked = node.cluster.known_addresses();
         let silent_ms = node
@@ -133,60 +134,72 @@
     }
 }
 
-/// What the leader told and need not tell again.
+/// State received from the leader, which the next watch request names so that it is not sent again.
 #[derive(Default)]
-struct Held {
+struct WatchState {
     directory: Option<Directory>,
-    /// The directory held is one that this node does not act on.
-    passed_over: bool,
+    /// Whether `directory` was received but not applied to the fleet.
+    directory_ignored: bool,
     processes: Option<Digest>,
-    /// The cell that this node is in.
+    /// Cell that the leader assigned to this node.
     cell: Option<CellId>,
 }
 
-/// `is_dated`: whether the leader's build tells how old its directory is.
-fn take_in(node: &Node, asked: BootTime, is_dated: bool, response: WatchResponse, held: &mut Held) {
+/// Applies a watch response. `is_dated` is whether the leader's build sends the age of its
+/// directory.
+fn apply_watch_response(
+    node: &Node,
+    sent_at: BootTime,
+    is_dated: bool,
+    response: WatchResponse,
+    state: &mut WatchState,
+) {
     if let Some(processes) = response.processes {
-        held.processes = Some(Digest::of(&processes));
-        learn_processes(node, processes);
+        state.processes = Some(Digest::of(&processes));
+        apply_processes(node, processes);
     }
     node.beliefs.nodes.store(response.nodes, Ordering::Relaxed);
     let cell_nodes = &node.beliefs.cell_nodes;
     cell_nodes.store(response.cell_nodes, Ordering::Relaxed);
-    take_cell(node, response.cell, held);
+    update_cell(node, response.cell, state);
     if let Some(table) = response.table {
-        take_table(node, &table);
+        apply_table(node, &table);
     }
     if let Some(evacuations) = response.evacuations {
-        take_evacuations(node, evacuations);
+        apply_evacuations(node, evacuations);
     }
-    note_dated(node, is_dated);
-    if is_dated && held.passed_over {
-        // The whole is asked for next time.
-        held.directory = None;
-        held.passed_over = false;
+    record_directory_dated(node, is_dated);
+    if is_dated && state.directory_ignored {
+        // The next watch requests the full directory.
+        state.directory = None;
+        state.directory_ignored = false;
         return;
     }
     if let Some(update) = response.directory {
-        // An undated directory may be older than this node's own reading of the list.
-        let own = node.with_fleet(|fleet, _| fleet.listed_ms().is_some());
-        held.passed_over = !is_dated && own;
-        // After a change that does not fit, the whole is asked for.
-        held.directory = take_update(node, held.directory.take(), &update, held.passed_over);
+        // A directory of unknown age may be older than the node's own read of the list.
+        let has_own_listing = node.with_fleet(|fleet, _| fleet.listed_ms().is_some());
+        state.directory_ignored = !is_dated && has_own_listing;
+        // `None` after a change that does not apply: the next watch requests the full directory.
+        state.directory = apply_directory_update(
+            node,
+            state.directory.take(),
+            &update,
+            state.directory_ignored,
+        );
     }
-    if let (Some(_), Some(age_ms)) = (&held.directory, response.directory_age_ms) {
-        confirm_directory(node, asked, Duration::from_millis(age_ms));
+    if let (Some(_), Some(age_ms)) = (&state.directory, response.directory_age_ms) {
+        confirm_directory(node, sent_at, Duration::from_millis(age_ms));
     }
 }
 
-fn note_dated(node: &Node, is_dated: bool) {
+fn record_directory_dated(node: &Node, is_dated: bool) {
     if node.beliefs.undated.swap(!is_dated, Ordering::Relaxed) == is_dated {
         log::info!(event = "directory_dated", dated = is_dated; "");
         node.beliefs.undated_found.notify_one();
     }
 }
 
-fn take_table(node: &Node, packed: &Packed<RouteTable>) {
+fn apply_table(node: &Node, packed: &Packed<RouteTable>) {
     let table = match packed.unpack() {
         Ok(table) => table,
         Err(error) => {
@@ -200,12 +213,13 @@
     }
 }
 
-/// The directory that an update leads to; none if it can't be had.
-fn take_update(
+/// Applies a directory update, and the resulting directory to the fleet unless `ignored` is set.
+/// Returns `None` if the update can't be decoded or does not apply to the known directory.
+fn apply_directory_update(
     node: &Node,
-    held: Option<Directory>,
+    known: Option<Directory>,
     packed: &Packed<DirectoryUpdate>,
-    passed_over: bool,
+    ignored: bool,
 ) -> Option<Directory> {
     let update = match packed.unpack() {
         Ok(update) => update,
@@ -214,10 +228,10 @@
             return None;
         }
     };
-    match Directory::apply_update(held.as_ref(), update) {
+    match Directory::apply_update(known.as_ref(), update) {
         Ok(directory) => {
-            if !passed_over {
-                take_workers(node, directory.workers());
+            if !ignored {
+                apply_directory(node, directory.workers());
             }
             Some(directory)
         }
@@ -228,17 +242,17 @@
     }
 }
 
-/// Of another cell nothing is held.
-fn take_cell(node: &Node, cell: CellId, held: &mut Held) {
-    if held.cell == Some(cell) {
+/// Records the cell that the leader assigned to this node, if it changed.
+fn update_cell(node: &Node, cell: CellId, state: &mut WatchState) {
+    if state.cell == Some(cell) {
         return;
     }
-    held.cell = Some(cell);
+    state.cell = Some(cell);
     *node.beliefs.cell.lock() = Some(cell);
     log::info!(event = "cell_changed", index = cell.index, count = cell.count; "");
 }
 
-fn take_evacuations(node: &Node, evacuations: Evacuations) {
+fn apply_evacuations(node: &Node, evacuations: Evacuations) {
     let revision = evacuations.revision();
     let zones: Vec<String> = evacuations.zones().map(str::to_owned).collect();
     let taken = node.with_fleet(|fleet, now_ms| fleet.take_evacuations(now_ms, evacuations));
@@ -248,30 +262,31 @@
     }
 }
 
-/// The directory held is what a reading of the list showed that was so old when it was asked
-/// for. An answer alone proves nothing: the leader answers also while it can't read the list.
-fn confirm_directory(node: &Node, asked: BootTime, age: Duration) {
-    let listed_ms = node.ms_at(asked) as i64 - age.as_millis() as i64;
+/// Records the time up to which the directory is confirmed: it shows the list as read `age` before
+/// the watch request was sent. An answer alone confirms nothing, since the leader answers even while
+/// it can't read the list.
+fn confirm_directory(node: &Node, sent_at: BootTime, age: Duration) {
+    let listed_ms = node.ms_at(sent_at) as i64 - age.as_millis() as i64;
     node.with_fleet(|fleet, _| fleet.confirm_directory(listed_ms));
 }
 
-fn learn_processes(node: &Node, processes: Processes) {
+fn apply_processes(node: &Node, processes: Processes) {
     log::info!(
         event = "processes_learnt", controls = processes.controls.len(),
         peers = processes.peers.len(), relays:? = processes.relays,
         bridges = processes.bridges.len(); ""
     );
-    node.peers.learn(&node.settings.zone, &processes);
+    node.peers.update_addresses(&node.settings.zone, &processes);
     node.cluster.update_control_machines(processes.controls);
 }
 
-/// Takes in a directory that the leader told.
-fn take_workers(node: &Node, workers: &[WorkerEntry]) {
+/// Applies a directory from the leader to the fleet.
+fn apply_directory(node: &Node, workers: &[WorkerEntry]) {
     let gone = node.with_fleet(|fleet, now_ms| fleet.take_directory(now_ms, workers));
-    note_workers(node, workers, &gone, "control");
+    handle_directory_change(node, workers, &gone, "control");
 }
 
-/// Workers of this node's cell; of all, if it knows none.
+/// Returns the workers of this node's cell, or all workers while its cell is unknown.
 fn workers_in_cell(node: &Node, workers: Vec<WorkerEntry>) -> Vec<WorkerEntry> {
     let Some(cell) = *node.beliefs.cell.lock() else {
         return workers;
@@ -282,15 +297,16 @@
     workers
 }
 
-/// Takes in a reading of this node's own, unless the leader has told a later one meanwhile.
-fn take_reading(node: &Node, began: BootTime, reading: ListReading) {
+/// Applies the node's own read of the worker list, unless the leader sent a later directory in the
+/// meantime.
+fn apply_listing(node: &Node, began: BootTime, reading: ListReading) {
     let directory = Directory::new(workers_in_cell(node, reading.workers));
     let began_ms = node.ms_at(began) as i64;
     let taken =
         node.with_fleet(|fleet, now_ms| fleet.take_reading(now_ms, began_ms, directory.workers()));
     match taken {
         Some(gone) => {
-            note_workers(node, directory.workers(), &gone, "list");
+            handle_directory_change(node, directory.workers(), &gone, "list");
             node.waking.record_refresh(began);
         }
         None => log::info!(
@@ -299,8 +315,14 @@
     }
 }
 
-/// Acts on workers that are gone, and says what was taken in.
-fn note_workers(node: &Node, workers: &[WorkerEntry], gone: &[GoneWorker], source: &str) {
+/// Closes connections to workers that are gone and checks them for crashes, and logs the applied
+/// directory. `source` is where it came from, for the log.
+fn handle_directory_change(
+    node: &Node,
+    workers: &[WorkerEntry],
+    gone: &[GoneWorker],
+    source: &str,
+) {
     node.slow_starts.notify_cold_workers();
     node.connections().cancel_superseded_exchanges(workers);
     for worker in gone {
@@ -320,9 +342,9 @@
     );
 }
 
-async fn read_list_while_lost(node: Arc<Node>, list: Arc<dyn WorkerListProtocol>) {
+async fn read_list_when_needed(node: Arc<Node>, list: Arc<dyn WorkerListProtocol>) {
     let client = match reqwest::Client::builder()
-        .timeout(PAGE_TIME)
+        .timeout(PAGE_TIMEOUT)
         .no_proxy()
         .build()
     {
@@ -344,17 +366,17 @@
         let paused = sleep(pause_after_failures(pause, failures));
         tokio::select! {
             () = paused => {}
-            // Nothing is known of the workers until the first reading.
+            // Without dated directories, the state of workers is unknown until the first read.
             () = node.beliefs.undated_found.notified() => {
                 sleep(first_undated_pause(nodes, pages, rate, rand::random())).await;
             }
         }
-        let heard_ms = node.beliefs.control_heard_ms.load(Ordering::Relaxed);
-        let silent_ms = node.now_ms().saturating_sub(heard_ms);
-        // Without a route table no call can go anywhere, so that workers are of no use: where all
-        // processes have just started, the leader alone needs the list.
+        let last_answer_ms = node.beliefs.control_heard_ms.load(Ordering::Relaxed);
+        let silent_ms = node.now_ms().saturating_sub(last_answer_ms);
+        // Without a route table no call can be sent, so the node does not need workers yet. When all
+        // processes have just started, this leaves the list to the leader.
         let undated = node.beliefs.undated.load(Ordering::Relaxed);
-        let is_needed = undated || Duration::from_millis(silent_ms) >= LIST_AFTER;
+        let is_needed = undated || Duration::from_millis(silent_ms) >= LIST_READ_DELAY;
         if !is_needed || node.table().is_none() {
             continue;
         }
@@ -369,7 +391,7 @@
                         first_reason:? = reading.skipped.first_reason; ""
                     );
                 }
-                take_reading(&node, started, reading);
+                apply_listing(&node, started, reading);
                 node.beliefs.told_by_others.store(true, Ordering::Relaxed);
             }
             Err(error) => {
@@ -390,19 +412,29 @@
 ) -> anyhow::Result<ListReading> {
     let mut reading = ListReading::default();
     let mut token: Option<String> = None;
-    for _ in 0..PAGE_LIMIT {
+    for _ in 0..MAX_PAGES {
         let path = list.page_path(token.as_deref());
         let url = format!("http://{}{path}", node.settings.worker_list);
-        let response = client.get(url).send().await.context("ask for a page")?;
+        let response = client
+            .get(url)
+            .send()
+            .await
+            .context("request a page of the worker list")?;
         if !response.status().is_success() {
-            bail!("ask for a page: status {}", response.status());
+            bail!(
+                "request a page of the worker list: status {}",
+                response.status()
+            );
         }
-        let body = response.bytes().await.context("read a page")?;
+        let body = response
+            .bytes()
+            .await
+            .context("receive a page of the worker list")?;
         let page = list.read_page(&body)?;
         token = reading.add_page(page)?;
         if token.is_none() {
             return Ok(reading);
         }
     }
-    bail!("more than {PAGE_LIMIT} pages")
+    bail!("the worker list has more than {MAX_PAGES} pages")
 }
--- a/crates/pinerill-forward/src/crash/broken_runs.rs
+++ b/crates/pinerill-forward/src/crash/broken_runs.rs
@@ -1,42 +1,43 @@
-//! Which runs ended because their worker crashed. Pure.
+//! Determines which runs ended because their worker crashed. Pure: the caller passes in the time.
 //!
-//! That a connection ends proves nothing: it may have been reset, cut or spoilt while the
-//! worker works on. A run that broke off counts as crashed only once something shows that
-//! its worker's process is gone: new connections are refused, another start of a worker
-//! answers at its address, or the list names it no more although it was not leaving. What
-//! is not proved within a few seconds is forgotten.
+//! The end of a connection proves no crash: it may have been reset, cut or corrupted while the
+//! worker goes on. A broken run counts as crashed only once there is evidence that its worker's
+//! process has ended: new connections are refused, another incarnation answers at its address, or
+//! the worker list no longer contains it although it was not draining. Runs without such evidence
+//! are dropped after a few seconds.
 
 use std::collections::HashMap;
 
-use super::{RequestFingerprint, WorkerStart};
+use super::{RequestFingerprint, WorkerIncarnation};
 
-/// Longest time between the end of a connection and refused connections for which both
-/// belong to one crash, milliseconds: a process that ends closes all it has at once.
+/// Longest time in milliseconds between the end of a run and a refused connection for which both
+/// are attributed to the same crash. It is short because a process that ends closes all its
+/// connections at once.
 const REFUSED_WITHIN_MS: u64 = 1_000;
-/// The same for news of the worker's successor, or of its absence from the list, which
-/// trails by some seconds.
+/// Longest time in milliseconds between the end of a run and evidence from a new incarnation or from
+/// the worker list, which lags by some seconds.
 const REPLACED_WITHIN_MS: u64 = 6_000;
-/// A run that its caller left so shortly before a crash may have caused it, milliseconds:
-/// a worker notices a closed connection a little late.
-const LEFT_WITHIN_MS: u64 = 500;
-/// Runs remembered of one worker at most; the oldest give way. Workers hold fewer at once.
-const MOST_RUNS: usize = 256;
-/// Workers remembered at most.
-const MOST_WORKERS: usize = 1_024;
+/// Longest time in milliseconds between a run that this node closed and a crash which that run may
+/// have caused: a worker notices a closed connection with some delay.
+const ABANDONED_WITHIN_MS: u64 = 500;
+/// Limit on the broken runs kept per worker; the oldest are evicted. Workers run fewer at a time.
+const MAX_RUNS: usize = 256;
+/// Limit on the workers with broken runs; runs of further workers are not recorded.
+const MAX_WORKERS: usize = 1_024;
 
-/// What shows that a worker's process is gone.
+/// Evidence that a worker's process has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashEvidence {
-    /// New connections to it are refused.
+    /// New connections to the worker are refused.
     Refused,
-    /// Another start of a worker has its address or its identifier.
+    /// Another incarnation uses the worker's address or identifier.
     Replaced,
-    /// The list names it no more, and it was not leaving.
+    /// The worker list no longer contains the worker, which was not draining.
     Unlisted,
 }
 
 impl CrashEvidence {
-    /// Its name in logs and metrics.
+    /// Returns the label used in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             CrashEvidence::Refused => "refused",
@@ -45,7 +46,7 @@
         }
     }
 
-    fn within_ms(self) -> u64 {
+    fn max_delay_ms(self) -> u64 {
         match self {
             CrashEvidence::Refused => REFUSED_WITHIN_MS,
             CrashEvidence::Replaced | CrashEvidence::Unlisted => REPLACED_WITHIN_MS,
@@ -53,44 +54,45 @@
     }
 }
 
-/// How a run ended before its answer was whole.
+/// How a run ended before its answer was complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The connection ended or fell silent.
-    Broke,
-    /// This node closed the connection, since the caller left or the item gave way.
-    Left,
+    /// The connection ended or timed out.
+    Broken,
+    /// This node closed the connection because the caller disconnected or the item was preempted.
+    Abandoned,
 }
 
-/// A run that ended before its answer was whole.
+/// A run that ended before its answer was complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BrokenRun {
-    /// The request.
+    /// Fingerprint of the request that ran.
     pub request: RequestFingerprint,
-    /// Number of its last event that arrived; 0 if none did.
-    pub reach: u64,
-    /// How it ended.
+    /// Number of the last event received; 0 if none was.
+    pub last_event: u64,
+    /// Whether the connection broke or this node closed it.
     pub end: RunEnd,
 }
 
 #[derive(Debug, Default)]
 struct WorkerRuns {
     broken: Vec<(u64, BrokenRun)>,
-    /// When a crash was proved.
+    /// When the worker was last found to have crashed.
     crashed_ms: Option<u64>,
 }
 
-/// Runs that broke off a short while ago, by worker.
+/// Runs that ended early within the last seconds, by worker.
 #[derive(Debug, Default)]
 pub struct BrokenRuns {
-    workers: HashMap<WorkerStart, WorkerRuns>,
+    workers: HashMap<WorkerIncarnation, WorkerRuns>,
 }
 
 impl BrokenRuns {
-    /// A run ended early. True if it is known already that its worker crashed just now.
-    pub fn ended(&mut self, now_ms: u64, worker: WorkerStart, run: BrokenRun) -> bool {
-        self.forget_old(now_ms);
-        if self.workers.len() >= MOST_WORKERS && !self.workers.contains_key(&worker) {
+    /// Records a run that ended early. Returns true if its worker is already known to have crashed
+    /// just before, so that the run counts as crashed at once.
+    pub fn record(&mut self, now_ms: u64, worker: WorkerIncarnation, run: BrokenRun) -> bool {
+        self.remove_stale(now_ms);
+        if self.workers.len() >= MAX_WORKERS && !self.workers.contains_key(&worker) {
             return false;
         }
         let runs = self.workers.entry(worker).or_default();
@@ -98,31 +100,32 @@
             .crashed_ms
             .is_some_and(|at| now_ms <= at + REFUSED_WITHIN_MS)
         {
-            return run.end == RunEnd::Broke;
+            return run.end == RunEnd::Broken;
         }
-        if runs.broken.len() >= MOST_RUNS {
+        if runs.broken.len() >= MAX_RUNS {
             runs.broken.remove(0);
         }
         runs.broken.push((now_ms, run));
         false
     }
 
-    /// Something shows that a worker's process is gone: the runs that its crash ended.
-    pub fn crashed(
+    /// Records evidence that a worker's process has ended, and returns the runs that its crash
+    /// ended. Each run is returned at most once.
+    pub fn take_crashed(
         &mut self,
         now_ms: u64,
-        worker: WorkerStart,
+        worker: WorkerIncarnation,
         evidence: CrashEvidence,
     ) -> Vec<BrokenRun> {
         let Some(runs) = self.workers.get_mut(&worker) else {
             return Vec::new();
         };
         let belongs = |at_ms: u64, run: &BrokenRun| {
-            let within_ms = match run.end {
-                RunEnd::Broke => evidence.within_ms(),
-                RunEnd::Left => LEFT_WITHIN_MS,
+            let max_delay_ms = match run.end {
+                RunEnd::Broken => evidence.max_delay_ms(),
+                RunEnd::Abandoned => ABANDONED_WITHIN_MS,
             };
-            now_ms <= at_ms + within_ms
+            now_ms <= at_ms + max_delay_ms
         };
         let broken = std::mem::take(&mut runs.broken);
         let ended: Vec<BrokenRun> = broken
@@ -136,12 +139,12 @@
         ended
     }
 
-    /// A worker accepts connections: what broke off there was no crash.
-    pub fn lives(&mut self, worker: WorkerStart) {
+    /// Drops the runs of a worker that accepts connections, since they did not end in a crash.
+    pub fn mark_alive(&mut self, worker: WorkerIncarnation) {
         self.workers.remove(&worker);
     }
 
-    fn forget_old(&mut self, now_ms: u64) {
+    fn remove_stale(&mut self, now_ms: u64) {
         let is_fresh = |at_ms: u64| now_ms <= at_ms + REPLACED_WITHIN_MS;
         self.workers.retain(|_, runs| {
             runs.broken.retain(|(at_ms, _)| is_fresh(*at_ms));
--- a/crates/pinerill-forward/src/crash/fingerprint.rs
+++ b/crates/pinerill-forward/src/crash/fingerprint.rs
@@ -1,7 +1,8 @@
-//! What makes two tries the same request.
+//! Fingerprints that are equal for all attempts of the same request.
 //!
-//! A caller names each try anew, so the name says nothing. The same tenant or credentials, method,
-//! host, path, query and body do: a worker that fails on one try will fail on the other.
+//! A caller gives each attempt a new identifier, so identifiers can't be compared. Attempts with the
+//! same tenant or credentials, method, host, path, query and body are the same request: a worker
+//! that fails on one will fail on the other.
 
 use std::fmt;
 use std::str::FromStr;
@@ -12,16 +13,18 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Bytes of a fingerprint: with 128 bits of SHA-256 nobody finds a request with the
-/// fingerprint of another one, by chance or on purpose, so it needs no secret seed.
+/// Length of a fingerprint in bytes. With 128 bits of SHA-256, nobody finds a request with the
+/// fingerprint of a given other one, by chance or on purpose, so no secret seed is needed.
 const FINGERPRINT_BYTES: usize = 16;
 
-/// A short name of a request, the same at all nodes and for all its tries.
+/// Identifies a request by a truncated SHA-256 hash that is equal at all nodes and for all attempts.
+/// Its text form is lower-case hexadecimal.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestFingerprint(pub(super) [u8; FINGERPRINT_BYTES]);
 
 impl RequestFingerprint {
-    /// The fingerprint of these parts; where one ends and the next begins counts.
+    /// Returns the fingerprint of a sequence of parts. Each part is hashed with its length, so that
+    /// the boundaries between parts matter.
     pub fn of_parts(parts: &[&[u8]]) -> Self {
         let mut hasher = Sha256::new();
         for part in parts {
@@ -56,20 +59,20 @@
     }
 }
 
-/// Who asks, as far as it is known: without that one caller could get the request of
-/// another refused.
+/// Sender of a request, as far as it is known. It is part of the fingerprint, since otherwise one
+/// caller could cause the request of another to be refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Requester {
-    /// A tenant, whichever of its keys it uses.
+    /// Name of a tenant, which may use any of its keys.
     Tenant(String),
-    /// Whoever has these credentials.
+    /// Value of the credentials header, when no tenant is known.
     Credentials(HeaderValue),
-    /// Anybody.
+    /// Neither a tenant nor credentials are known.
     Unknown,
 }
 
 impl Requester {
-    /// Who asks on behalf of a tenant, or with credentials.
+    /// Returns the tenant if it is known, otherwise the credentials if there are any.
     pub fn new(tenant: Option<&str>, credentials: Option<&HeaderValue>) -> Self {
         match (tenant, credentials) {
             (Some(tenant), _) => Requester::Tenant(tenant.to_owned()),
@@ -87,25 +90,25 @@
     }
 }
 
-/// What a request is, whichever try brings it. Its fingerprint is computed when it is
-/// first asked for: while no worker crashes, only for runs that end early.
+/// Parts of a request that are the same for all its attempts. The fingerprint is computed on first
+/// use; while no worker crashes, that is only for runs that end early.
 #[derive(Debug)]
 pub struct RequestIdentity {
-    /// Who asks.
+    /// Sender of the request.
     pub requester: Requester,
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Host that it was sent to.
+    /// Host that the request was sent to.
     pub host: String,
-    /// Path and query.
+    /// Target; only its path and query are part of the fingerprint.
     pub uri: Uri,
-    /// Its body.
+    /// Complete request body.
     pub body: Bytes,
     fingerprint: OnceLock<RequestFingerprint>,
 }
 
 impl RequestIdentity {
-    /// The identity of a request.
+    /// Creates an identity without computing its fingerprint.
     pub fn new(requester: Requester, method: Method, host: String, uri: Uri, body: Bytes) -> Self {
         RequestIdentity {
             requester,
@@ -117,7 +120,7 @@
         }
     }
 
-    /// Its fingerprint.
+    /// Returns the fingerprint, which the first call computes and caches.
     pub fn fingerprint(&self) -> RequestFingerprint {
         *self.fingerprint.get_or_init(|| {
             let (kind, requester) = self.requester.parts();
--- a/crates/pinerill-forward/src/crash/ledger.rs
+++ b/crates/pinerill-forward/src/crash/ledger.rs
@@ -1,87 +1,89 @@
-//! Which requests crash the workers that run them. Pure.
+//! Determines which requests crash the workers that run them. Pure: callers pass in the time.
 //!
-//! A worker that crashes ends all that ran there; the request that caused it is one of
-//! them. So one crash under a request proves nothing, and a second one happens by chance.
-//! A request is blocked after [`CRASHES_AT_ONE_POINT`] crashes, each of another start of a
-//! worker, that came at about the same point of its answer; one that got further in a later
-//! run did not cause the earlier ones. Whatever the points, [`CRASHES_ANYWHERE`] are enough.
-//! A run to a good end clears all crashes that are known by then.
+//! A crash of a worker ends all requests that ran there, of which one caused it. So one crash under a
+//! request proves nothing, and a second one happens by chance. A request is blocked after
+//! [`CRASHES_AT_ONE_POINT`] crashes, each of another incarnation of a worker, at about the same point
+//! of its answer; a request that got further in a later run did not cause the earlier crashes.
+//! [`CRASHES_ANYWHERE`] crashes block it wherever in the answer they happened. A completed run clears
+//! all crashes that are known by then.
 //!
-//! Blocking a sound request costs its caller an answer until an operator clears it or
-//! [`CRASH_LIFE_MS`] have passed; one more crash costs all that runs at a worker, some ten
-//! calls, and the worker for seconds. Three crashes in a row without a good run happen to
-//! less than one sound request in a thousand, also on days on which a worker in five
-//! crashes each few seconds (a property test holds that).
+//! Blocking a harmless request denies its caller an answer until an operator clears it or
+//! [`CRASH_LIFE_MS`] have passed. Each further crash ends all requests at a worker, some ten calls,
+//! and costs the worker for seconds. Fewer than one harmless request in a thousand gets three crashes
+//! in a row without a completed run, even while one worker in five crashes every few seconds (a test
+//! checks this).
 //!
-//! What it gains: on three nodes and six workers a request that crashes its workers and is sent
-//! 40 times runs 4 times; without a ledger 80 times (one run each on real processes).
+//! With three nodes and six workers, a request that crashes its workers and is sent 40 times runs
+//! 4 times; without a ledger it runs 80 times (one run each on real processes).
 //!
-//! Each node keeps a ledger and tells the others what changes. Reports can be merged in
-//! any order and any number of times: the same reports lead to the same verdicts.
+//! Each node keeps a ledger and broadcasts its changes. Reports can be merged in any order and any
+//! number of times: the same reports lead to the same verdicts.
 
 use std::collections::{BTreeMap, HashMap};
 
 use serde::{Deserialize, Serialize};
 
-use super::{RequestFingerprint, WorkerStart};
+use super::{RequestFingerprint, WorkerIncarnation};
 
-/// Crashes at about the same point of a request's answer after which it is blocked.
+/// Number of crashes at about the same point of a request's answer that block it.
 pub const CRASHES_AT_ONE_POINT: usize = 3;
-/// Crashes at any points after which it is blocked: one that crashes workers at random
-/// moments gets twice as far and no further.
+/// Number of crashes at any points of a request's answer that block it. It limits a request that
+/// crashes workers at random moments to twice as many crashes.
 pub const CRASHES_ANYWHERE: usize = 2 * CRASHES_AT_ONE_POINT;
-/// Events by which two runs may differ and still have ended at the same point: a process
-/// dies a moment after its cause, and its last events may be lost with its connections.
+/// Number of events by which the ends of two runs may differ and still count as the same point: a
+/// process ends some time after the cause, and its last events may be lost with its connections.
 const SAME_POINT_EVENTS: u64 = 8;
-/// Time after its last crash at which a request is forgotten, milliseconds: a caller who
-/// repeats it for longer costs three workers each ten minutes.
+/// Time in milliseconds after its last crash at which a request is removed. A caller who keeps
+/// repeating a crashing request therefore crashes three workers every ten minutes.
 pub const CRASH_LIFE_MS: u64 = 600_000;
-/// Requests remembered at most, some 300 bytes each.
-pub const MOST_REQUESTS: usize = 4_096;
-/// Crashes remembered of one request at most; more change no verdict.
-const MOST_CRASHES: usize = 2 * CRASHES_ANYWHERE;
-/// Time for which a change is told again, since a datagram may have been lost,
-/// milliseconds. Blocked requests are told for as long as they are blocked.
-const TOLD_AGAIN_MS: u64 = 5_000;
+/// Limit on the requests in the ledger, some 300 bytes each.
+pub const MAX_REQUESTS: usize = 4_096;
+/// Limit on the crashes kept per request; more change no verdict.
+const MAX_CRASHES_PER_REQUEST: usize = 2 * CRASHES_ANYWHERE;
+/// Time in milliseconds for which a change is sent again, since a datagram may have been lost.
+/// Crashes of blocked requests are sent for as long as the requests are blocked.
+const RESEND_MS: u64 = 5_000;
 
-/// One crash of a worker under a request, as nodes tell each other.
+/// One crash of a worker under a request, as it is sent between nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// The request.
+    /// Fingerprint of the request that was running.
     pub request: RequestFingerprint,
-    /// The start of a worker that crashed.
-    pub worker: WorkerStart,
-    /// Number of the last event that arrived before; 0 if none did.
-    pub reach: u64,
-    /// The request did not cause it: it ran to a good end since, or an operator says so.
+    /// Incarnation of the worker that crashed.
+    pub worker: WorkerIncarnation,
+    /// Number of the last event received before the crash; 0 if none was.
+    #[serde(rename = "reach")]
+    pub last_event: u64,
+    /// Whether the request is known not to have caused the crash, since a later run got further or
+    /// completed, or an operator cleared it.
     pub is_cleared: bool,
     /// Time since the crash, milliseconds.
     pub age_ms: u64,
 }
 
-/// What is known of a request.
+/// Whether a request may be sent to workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may run.
+    /// The known crashes are too few to block it.
     MayRun,
-    /// It is known to crash workers.
+    /// The request is known to crash workers.
     Blocked,
 }
 
 /// A blocked request, for operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BlockedRequest {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: RequestFingerprint,
-    /// Crashes under it that count.
+    /// Number of crashes under the request that are not cleared.
     pub crashes: usize,
-    /// Time since the last of them, milliseconds.
+    /// Time since the last crash under the request, milliseconds.
     pub last_ms: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Crash {
-    reach: u64,
+    last_event: u64,
     is_cleared: bool,
     at_ms: u64,
     changed_ms: u64,
@@ -89,7 +91,7 @@
 
 #[derive(Debug, Default)]
 struct Crashes {
-    by_worker: BTreeMap<WorkerStart, Crash>,
+    by_worker: BTreeMap<WorkerIncarnation, Crash>,
 }
 
 impl Crashes {
@@ -97,15 +99,18 @@
         self.by_worker.values().filter(|crash| !crash.is_cleared)
     }
 
-    fn furthest(&self) -> u64 {
-        self.counted().map(|crash| crash.reach).max().unwrap_or(0)
+    fn furthest_event(&self) -> u64 {
+        self.counted()
+            .map(|crash| crash.last_event)
+            .max()
+            .unwrap_or(0)
     }
 
     fn verdict(&self) -> Verdict {
-        let furthest = self.furthest();
+        let furthest_event = self.furthest_event();
         let at_one_point = self
             .counted()
-            .filter(|crash| crash.reach + SAME_POINT_EVENTS >= furthest)
+            .filter(|crash| crash.last_event + SAME_POINT_EVENTS >= furthest_event)
             .count();
         let anywhere = self.counted().count();
         match at_one_point >= CRASHES_AT_ONE_POINT || anywhere >= CRASHES_ANYWHERE {
@@ -119,14 +124,16 @@
         times.max().unwrap_or(0)
     }
 
-    /// What is lost with it, the least first.
-    fn weight(&self) -> (usize, u64) {
+    /// Sort key for eviction: requests with fewer counted crashes are evicted first, and among those
+    /// the one whose last crash is the oldest.
+    fn eviction_key(&self) -> (usize, u64) {
         (self.counted().count(), self.last_ms())
     }
 
-    /// Makes room for one more: a cleared crash or, if there is none, the oldest one.
-    fn make_room(&mut self) {
-        if self.by_worker.len() < MOST_CRASHES {
+    /// Removes one crash if the limit is reached: the oldest cleared crash or, if none is cleared,
+    /// the oldest one.
+    fn evict_if_full(&mut self) {
+        if self.by_worker.len() < MAX_CRASHES_PER_REQUEST {
             return;
         }
         let crashes = self.by_worker.iter();
@@ -136,12 +143,12 @@
         }
     }
 
-    /// Takes in a crash; true if that changes anything.
+    /// Merges a crash report. Returns whether it changed anything.
     fn merge(&mut self, now_ms: u64, report: &CrashReport) -> bool {
         let Some(known) = self.by_worker.get_mut(&report.worker) else {
-            self.make_room();
+            self.evict_if_full();
             let crash = Crash {
-                reach: report.reach,
+                last_event: report.last_event,
                 is_cleared: report.is_cleared,
                 at_ms: now_ms.saturating_sub(report.age_ms),
                 changed_ms: now_ms,
@@ -149,9 +156,10 @@
             self.by_worker.insert(report.worker, crash);
             return true;
         };
-        let changes = report.reach > known.reach || (report.is_cleared && !known.is_cleared);
+        let changes =
+            report.last_event > known.last_event || (report.is_cleared && !known.is_cleared);
         if changes {
-            known.reach = known.reach.max(report.reach);
+            known.last_event = known.last_event.max(report.last_event);
             known.is_cleared |= report.is_cleared;
             known.changed_ms = now_ms;
         }
@@ -159,58 +167,59 @@
     }
 }
 
-/// All requests under which workers crashed a while ago.
+/// Requests under which workers crashed within the last [`CRASH_LIFE_MS`], with the known crashes.
 #[derive(Debug, Default)]
 pub struct CrashLedger {
     requests: HashMap<RequestFingerprint, Crashes>,
-    /// Where telling goes on.
-    told_up_to: usize,
+    /// Index in the sorted reports at which the next resend begins.
+    next_resend: usize,
 }
 
 impl CrashLedger {
-    /// Whether nothing is known of any request.
+    /// Returns whether the ledger contains no request.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Requests of which something is known.
+    /// Returns the number of requests in the ledger.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Takes in what this or another node saw; true if that changes anything.
-    pub fn take(&mut self, now_ms: u64, report: &CrashReport) -> bool {
+    /// Merges a report of this or another node. Returns whether it changed anything; reports older
+    /// than [`CRASH_LIFE_MS`] are ignored.
+    pub fn merge(&mut self, now_ms: u64, report: &CrashReport) -> bool {
         if report.age_ms >= CRASH_LIFE_MS {
             return false;
         }
         if !self.requests.contains_key(&report.request) {
-            self.make_room();
+            self.evict_if_full();
         }
         let crashes = self.requests.entry(report.request).or_default();
         crashes.merge(now_ms, report)
     }
 
-    /// Whether a request may run.
+    /// Returns whether a request may run.
     pub fn verdict(&self, request: RequestFingerprint) -> Verdict {
         let crashes = self.requests.get(&request);
         crashes.map_or(Verdict::MayRun, Crashes::verdict)
     }
 
-    /// A run got up to an event, so that crashes well before it had another cause. Returns
-    /// what the others are to be told.
-    pub fn outlived(
+    /// Clears the crashes under a request that happened well before an event which a run of it has
+    /// reached, since they had another cause. Returns the reports to broadcast.
+    pub fn clear_before(
         &mut self,
         now_ms: u64,
         request: RequestFingerprint,
-        reach: u64,
+        last_event: u64,
     ) -> Vec<CrashReport> {
         self.clear_if(now_ms, request, |crash| {
-            crash.reach + SAME_POINT_EVENTS < reach
+            crash.last_event + SAME_POINT_EVENTS < last_event
         })
     }
 
-    /// A request ran to a good end, or an operator says that it is sound. Returns what the
-    /// others are to be told.
+    /// Clears all crashes under a request that completed or that an operator cleared. Returns the
+    /// reports to broadcast.
     pub fn clear(&mut self, now_ms: u64, request: RequestFingerprint) -> Vec<CrashReport> {
         self.clear_if(now_ms, request, |_| true)
     }
@@ -219,14 +228,14 @@
         &mut self,
         now_ms: u64,
         request: RequestFingerprint,
-        is_refuted: impl Fn(&Crash) -> bool,
+        is_disproved: impl Fn(&Crash) -> bool,
     ) -> Vec<CrashReport> {
         let Some(crashes) = self.requests.get_mut(&request) else {
             return Vec::new();
         };
         let mut cleared = Vec::new();
         for (worker, crash) in &mut crashes.by_worker {
-            if !crash.is_cleared && is_refuted(crash) {
+            if !crash.is_cleared && is_disproved(crash) {
                 crash.is_cleared = true;
                 crash.changed_ms = now_ms;
                 cleared.push(report(now_ms, request, *worker, crash));
@@ -235,36 +244,36 @@
         cleared
     }
 
-    /// Up to `most` reports that the others may lack: what changed a short while ago, and
-    /// what blocks requests. Goes on where it left off the last time.
-    pub fn to_tell(&mut self, now_ms: u64, most: usize) -> Vec<CrashReport> {
+    /// Returns up to `limit` reports that other nodes may lack: recent changes, and the crashes that
+    /// block requests. Successive calls rotate through all such reports.
+    pub fn reports_to_resend(&mut self, now_ms: u64, limit: usize) -> Vec<CrashReport> {
         let mut all = Vec::new();
         for (request, crashes) in &self.requests {
             let blocks = crashes.verdict() == Verdict::Blocked;
-            let told = crashes.by_worker.iter().filter(|(_, crash)| {
-                let is_news = now_ms <= crash.changed_ms + TOLD_AGAIN_MS;
-                is_news || (blocks && !crash.is_cleared)
+            let due = crashes.by_worker.iter().filter(|(_, crash)| {
+                let is_recent = now_ms <= crash.changed_ms + RESEND_MS;
+                is_recent || (blocks && !crash.is_cleared)
             });
-            all.extend(told.map(|(worker, crash)| report(now_ms, *request, *worker, crash)));
+            all.extend(due.map(|(worker, crash)| report(now_ms, *request, *worker, crash)));
         }
         all.sort_unstable_by_key(|report| (report.request, report.worker));
         if all.is_empty() {
             return all;
         }
-        let begin = self.told_up_to % all.len();
-        self.told_up_to = begin + most;
+        let begin = self.next_resend % all.len();
+        self.next_resend = begin + limit;
         all.rotate_left(begin);
-        all.truncate(most);
+        all.truncate(limit);
         all
     }
 
-    /// Forgets requests whose last crash is long ago.
-    pub fn forget_old(&mut self, now_ms: u64) {
+    /// Removes requests whose last crash is at least [`CRASH_LIFE_MS`] ago.
+    pub fn remove_expired(&mut self, now_ms: u64) {
         self.requests
             .retain(|_, crashes| now_ms < crashes.last_ms() + CRASH_LIFE_MS);
     }
 
-    /// All blocked requests.
+    /// Returns all blocked requests, ordered by fingerprint.
     pub fn blocked(&self, now_ms: u64) -> Vec<BlockedRequest> {
         let blocked = self
             .requests
@@ -281,11 +290,14 @@
         listed
     }
 
-    fn make_room(&mut self) {
-        if self.requests.len() < MOST_REQUESTS {
+    fn evict_if_full(&mut self) {
+        if self.requests.len() < MAX_REQUESTS {
             return;
         }
-        let least = self.requests.iter().min_by_key(|(_, one)| one.weight());
+        let least = self
+            .requests
+            .iter()
+            .min_by_key(|(_, one)| one.eviction_key());
         if let Some(request) = least.map(|(request, _)| *request) {
             self.requests.remove(&request);
         }
@@ -295,13 +307,13 @@
 fn report(
     now_ms: u64,
     request: RequestFingerprint,
-    worker: WorkerStart,
+    worker: WorkerIncarnation,
     crash: &Crash,
 ) -> CrashReport {
     CrashReport {
         request,
         worker,
-        reach: crash.reach,
+        last_event: crash.last_event,
         is_cleared: crash.is_cleared,
         age_ms: now_ms.saturating_sub(crash.at_ms),
     }
--- a/crates/pinerill-forward/src/crash/operators.rs
+++ b/crates/pinerill-forward/src/crash/operators.rs
@@ -1,4 +1,4 @@
-//! What operators see of blocked requests, and how they clear one.
+//! HTTP endpoints for operators that list blocked requests and clear one.
 
 use std::sync::Arc;
 
@@ -9,14 +9,14 @@
 use super::RequestFingerprint;
 use crate::node::Node;
 
-/// Adds what is asked of blocked requests to a node's server for operators.
+/// Mounts the endpoints below `/requests/blocked` on a node's admin server.
 pub(crate) fn mount_blocked_requests(server: Rocket<Build>, node: Arc<Node>) -> Rocket<Build> {
     server
         .manage(node)
         .mount("/requests/blocked", routes![list, clear])
 }
 
-/// One line a request.
+/// Lists the blocked requests, one per line.
 #[get("/")]
 fn list(node: &State<Arc<Node>>) -> String {
     let blocked = node.blocked_requests();
@@ -31,7 +31,8 @@
         .collect()
 }
 
-/// Lets a request run again, at all nodes.
+/// Clears all known crashes of a request, so that it may run again at all nodes. Answers 404 if none
+/// was known.
 #[post("/<request>/clear")]
 fn clear(node: &State<Arc<Node>>, request: &str) -> Custom<String> {
     let Ok(request) = request.parse::<RequestFingerprint>() else {
--- a/crates/pinerill-forward/src/crash/run.rs
+++ b/crates/pinerill-forward/src/crash/run.rs
@@ -1,26 +1,29 @@
-//! One run of a request at a worker, from its first byte to its end.
+//! Tracks one run of a request at a worker, from sending its first byte to its end, for crash
+//! detection.
 
 use std::sync::Arc;
 
 use pinerill_calls::directory::{WorkerEntry, WorkerId};
 
 use super::broken_runs::{BrokenRun, RunEnd};
-use super::{RequestIdentity, WorkerStart};
+use super::{RequestIdentity, WorkerIncarnation};
 use crate::exchange::BreakReason;
 use crate::node::Node;
 
-/// A run. One that is dropped before it has an end was left by its caller.
+/// One run of a request at a worker. A run that is dropped before an outcome is recorded counts as
+/// abandoned by its caller.
 pub struct Run {
     node: Arc<Node>,
     worker: Arc<WorkerEntry>,
     request: Arc<RequestIdentity>,
-    /// Number of the last event that arrived; 0 if none did.
-    reach: u64,
+    /// Number of the last event received; 0 if none was.
+    last_event: u64,
     is_open: bool,
 }
 
 impl Run {
-    /// A request is about to be sent to a worker, to go on behind an event if one is named.
+    /// Starts tracking a request that is about to be sent to a worker. `resume_after` is the number
+    /// of the event after which the answer is to continue, if it continues an earlier one.
     pub fn begin(
         node: &Arc<Node>,
         worker: &Arc<WorkerEntry>,
@@ -31,60 +34,62 @@
             node: node.clone(),
             worker: worker.clone(),
             request: request.clone(),
-            reach: resume_after.unwrap_or(0),
+            last_event: resume_after.unwrap_or(0),
             is_open: true,
         }
     }
 
-    /// The worker.
+    /// Returns the identifier of the worker that runs the request.
     pub fn worker(&self) -> &WorkerId {
         &self.worker.id
     }
 
-    /// Number of the last event that arrived; 0 if none did.
+    /// Returns the number of the last event received; 0 if none was.
     pub fn last_event(&self) -> u64 {
-        self.reach
+        self.last_event
     }
 
-    /// Events up to this one have arrived.
+    /// Records that events up to this number were received.
     pub fn record_event(&mut self, event: Option<u64>) {
-        self.reach = self.reach.max(event.unwrap_or(0));
+        self.last_event = self.last_event.max(event.unwrap_or(0));
     }
 
-    /// The worker can't have begun it.
+    /// Ends a run that the worker can't have started.
     pub fn mark_not_started(mut self) {
         self.is_open = false;
     }
 
-    /// The worker answered whole, so that it outlived the request.
+    /// Ends a run whose answer is complete, which shows that the request did not crash the worker.
     pub fn mark_answered(mut self) {
         self.is_open = false;
-        self.node.request_answered(&self.request);
+        self.node.record_answered(&self.request);
     }
 
-    /// It broke off.
+    /// Ends a run that broke off. Counts it as crashed at once if the worker restarted, and otherwise
+    /// probes the worker if `reason` may be due to a crash.
     pub fn mark_broken(mut self, reason: &BreakReason) {
         self.is_open = false;
-        self.node.request_outlived(&self.request, self.reach);
+        self.node
+            .clear_crashes_before(&self.request, self.last_event);
         if *reason == BreakReason::Restarted {
-            let run = self.ended(RunEnd::Broke);
+            let run = self.to_broken_run(RunEnd::Broken);
             self.node
-                .runs_crashed(WorkerStart::of(&self.worker), &[run]);
+                .report_crashed_runs(WorkerIncarnation::of(&self.worker), &[run]);
         } else if reason.may_be_crash() {
-            self.note(RunEnd::Broke);
-            self.node.look_for_crash(&self.worker, reason);
+            self.record_early_end(RunEnd::Broken);
+            self.node.probe_worker(&self.worker, reason);
         }
     }
 
-    fn note(&self, end: RunEnd) {
+    fn record_early_end(&self, end: RunEnd) {
         self.node
-            .run_ended_early(WorkerStart::of(&self.worker), self.ended(end));
+            .record_early_end(WorkerIncarnation::of(&self.worker), self.to_broken_run(end));
     }
 
-    fn ended(&self, end: RunEnd) -> BrokenRun {
+    fn to_broken_run(&self, end: RunEnd) -> BrokenRun {
         BrokenRun {
             request: self.request.fingerprint(),
-            reach: self.reach,
+            last_event: self.last_event,
             end,
         }
     }
@@ -93,8 +98,9 @@
 impl Drop for Run {
     fn drop(&mut self) {
         if self.is_open {
-            self.node.request_outlived(&self.request, self.reach);
-            self.note(RunEnd::Left);
+            self.node
+                .clear_crashes_before(&self.request, self.last_event);
+            self.record_early_end(RunEnd::Abandoned);
         }
     }
 }
--- a/crates/pinerill-forward/src/crash/tracker.rs
+++ b/crates/pinerill-forward/src/crash/tracker.rs
@@ -1,4 +1,7 @@
-//! Looks for proof that a worker crashed, and says so.
+//! Looks for evidence that workers crashed, and reports the runs that a crash ended.
+//!
+//! Runs of requests record here when they end early; the watch and the connections to workers
+//! supply evidence.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -9,73 +12,74 @@
 
 use super::broken_runs::{BrokenRun, BrokenRuns, CrashEvidence};
 use super::ledger::{CrashLedger, CrashReport};
-use super::WorkerStart;
+use super::WorkerIncarnation;
 use crate::exchange::BreakReason;
 use crate::node::Node;
 
-/// Requests named in one log line.
+/// Limit on the requests listed in one log line.
 const REQUESTS_LOGGED: usize = 16;
 
-/// What a node knows of crashes.
+/// A node's state about crashes of workers.
 #[derive(Default)]
 pub(crate) struct CrashTracker {
     broken: Mutex<BrokenRuns>,
-    /// Workers that are being connected to, to see whether they live.
-    probed: Mutex<HashSet<WorkerStart>>,
-    /// What crashed under which request.
+    /// Workers that are being probed with a new connection.
+    probing: Mutex<HashSet<WorkerIncarnation>>,
+    /// Known crashes by request, also from other nodes.
     pub(super) ledger: Mutex<CrashLedger>,
-    /// A request was blocked.
+    /// Wakes tasks that wait for a request to be blocked, whenever a verdict changes.
     pub(super) blocked: Notify,
 }
 
 impl Node {
-    /// Notes a run that ended before its answer was whole.
-    pub(super) fn run_ended_early(&self, worker: WorkerStart, run: BrokenRun) {
+    /// Records a run that ended before its answer was complete.
+    pub(super) fn record_early_end(&self, worker: WorkerIncarnation, run: BrokenRun) {
         let now_ms = self.now_ms();
-        let is_crash = self.crashes.broken.lock().ended(now_ms, worker, run);
+        let is_crash = self.crashes.broken.lock().record(now_ms, worker, run);
         if is_crash {
-            self.runs_crashed(worker, &[run]);
+            self.report_crashed_runs(worker, &[run]);
         }
     }
 
-    /// Connects to a worker at which a run broke off: a process that has crashed refuses.
-    /// A connection that comes about is kept for the next request.
-    pub(super) fn look_for_crash(
-        self: &Arc<Self>,
-        worker: &Arc<WorkerEntry>,
-        reason: &BreakReason,
-    ) {
-        let start = WorkerStart::of(worker);
-        // A silent worker would not answer a connection either; the list tells.
-        if reason.is_unresponsive() || !self.crashes.probed.lock().insert(start) {
+    /// Probes a worker at which a run broke off with a new connection, which a crashed process
+    /// refuses. An opened connection goes into the pool for the next request.
+    pub(super) fn probe_worker(self: &Arc<Self>, worker: &Arc<WorkerEntry>, reason: &BreakReason) {
+        let incarnation = WorkerIncarnation::of(worker);
+        // An unresponsive worker would not answer a connection either; the worker list shows whether
+        // it has ended.
+        if reason.is_unresponsive() || !self.crashes.probing.lock().insert(incarnation) {
             return;
         }
         let (node, worker) = (self.clone(), worker.clone());
         tokio::spawn(async move {
             match node.connections().open(&worker).await {
                 Ok(connection) => {
-                    node.crashes.broken.lock().lives(start);
+                    node.crashes.broken.lock().mark_alive(incarnation);
                     node.connections().put(&worker.id, connection, None);
                 }
                 Err(BreakReason::Refused) => {
                     node.record_worker_crash(&worker, CrashEvidence::Refused)
                 }
-                // It may be cut off; the list tells.
+                // The worker may be partitioned; the worker list shows whether it has ended.
                 Err(_) => {}
             }
-            node.crashes.probed.lock().remove(&start);
+            node.crashes.probing.lock().remove(&incarnation);
         });
     }
 
-    /// Something shows that a worker's process is gone. One that is leaving ends without
-    /// having crashed.
+    /// Handles evidence that a worker's process has ended: reports the runs that ended with it.
+    /// Ignores draining workers, which end without a crash.
     pub(crate) fn record_worker_crash(&self, worker: &WorkerEntry, evidence: CrashEvidence) {
         if worker.state == WorkerState::Draining {
             return;
         }
-        let start = WorkerStart::of(worker);
+        let incarnation = WorkerIncarnation::of(worker);
         let now_ms = self.now_ms();
-        let runs = self.crashes.broken.lock().crashed(now_ms, start, evidence);
+        let runs = self
+            .crashes
+            .broken
+            .lock()
+            .take_crashed(now_ms, incarnation, evidence);
         if runs.is_empty() {
             return;
         }
@@ -83,27 +87,27 @@
         let requests: Vec<String> = runs
             .iter()
             .take(REQUESTS_LOGGED)
-            .map(|run| format!("{} behind event {}", run.request, run.reach))
+            .map(|run| format!("{} after event {}", run.request, run.last_event))
             .collect();
         log::warn!(
             event = "worker_crashed", worker = worker.id.as_str(), evidence = evidence.label(),
             runs = runs.len(), requests:? = requests; ""
         );
-        self.runs_crashed(start, &runs);
+        self.report_crashed_runs(incarnation, &runs);
     }
 
-    /// Takes runs that ended with a crash of their worker into the ledger, and tells.
-    pub(super) fn runs_crashed(&self, worker: WorkerStart, runs: &[BrokenRun]) {
+    /// Adds runs that ended with a crash of their worker to the ledger and broadcasts the reports.
+    pub(super) fn report_crashed_runs(&self, worker: WorkerIncarnation, runs: &[BrokenRun]) {
         self.metrics.runs_crashed.inc_by(runs.len() as u64);
         let reports = runs.iter().map(|run| CrashReport {
             request: run.request,
             worker,
-            reach: run.reach,
+            last_event: run.last_event,
             is_cleared: false,
             age_ms: 0,
         });
         let reports: Vec<CrashReport> = reports.collect();
-        let news = self.take_crashes(&reports);
-        self.peers.tell_crashes(&news);
+        let changed = self.merge_crash_reports(&reports);
+        self.peers.broadcast_crashes(&changed);
     }
 }
--- a/crates/pinerill-forward/src/crash/verdicts.rs
+++ b/crates/pinerill-forward/src/crash/verdicts.rs
@@ -1,5 +1,5 @@
-//! What a node does with its ledger: it asks before a request is sent, and tells the other
-//! nodes what it learns.
+//! A node's use of its crash ledger: checks requests before they are sent, and broadcasts changes to
+//! the other nodes.
 
 use std::pin::pin;
 
@@ -7,12 +7,12 @@
 use super::{RequestFingerprint, RequestIdentity};
 use crate::node::Node;
 
-/// Reports in one datagram: each takes 40 bytes at most, and three block a request.
-pub(crate) const REPORTS_TOLD: usize = 32;
+/// Limit on the reports in one datagram. Each takes 40 bytes at most; three block a request.
+pub(crate) const MAX_REPORTS_PER_DATAGRAM: usize = 32;
 
 impl Node {
-    /// Whether a request is known to crash workers. While no worker has crashed, nothing is
-    /// hashed.
+    /// Returns whether a request is known to crash workers. Computes no fingerprint while the ledger
+    /// is empty.
     pub(crate) fn is_blocked(&self, request: &RequestIdentity) -> bool {
         if self.crashes.ledger.lock().is_empty() {
             return false;
@@ -21,88 +21,96 @@
         self.crashes.ledger.lock().verdict(request) == Verdict::Blocked
     }
 
-    /// Ends once a request is known to crash workers, so that it is not held any longer.
+    /// Waits until a request is known to crash workers, so that its caller need not wait any longer.
     pub(crate) async fn wait_until_blocked(&self, request: &RequestIdentity) {
         loop {
-            let mut changed = pin!(self.crashes.blocked.notified());
-            changed.as_mut().enable();
+            let mut notified = pin!(self.crashes.blocked.notified());
+            notified.as_mut().enable();
             if self.is_blocked(request) {
                 return;
             }
-            changed.await;
+            notified.await;
         }
     }
 
-    /// A run of a request ended well: whatever crashed under it had another cause.
-    pub(super) fn request_answered(&self, request: &RequestIdentity) {
+    /// Clears the crashes under a request that was answered completely: they had another cause.
+    pub(super) fn record_answered(&self, request: &RequestIdentity) {
         if self.crashes.ledger.lock().is_empty() {
             return;
         }
         self.clear_request(request.fingerprint());
     }
 
-    /// Clears a request; false if nothing was known of it.
+    /// Clears the crashes under a request and broadcasts that. Returns false if there were none to
+    /// clear.
     pub(crate) fn clear_request(&self, request: RequestFingerprint) -> bool {
         let now_ms = self.now_ms();
         let cleared = self.crashes.ledger.lock().clear(now_ms, request);
-        self.tell_cleared(request, &cleared);
+        self.broadcast_cleared(request, &cleared);
         !cleared.is_empty()
     }
 
-    /// A run of a request got up to an event.
-    pub(super) fn request_outlived(&self, request: &RequestIdentity, reach: u64) {
+    /// Clears the crashes well before an event that a later run of the request reached.
+    pub(super) fn clear_crashes_before(&self, request: &RequestIdentity, last_event: u64) {
         if self.crashes.ledger.lock().is_empty() {
             return;
         }
         let (now_ms, request) = (self.now_ms(), request.fingerprint());
-        let cleared = self.crashes.ledger.lock().outlived(now_ms, request, reach);
-        self.tell_cleared(request, &cleared);
+        let cleared = self
+            .crashes
+            .ledger
+            .lock()
+            .clear_before(now_ms, request, last_event);
+        self.broadcast_cleared(request, &cleared);
     }
 
-    fn tell_cleared(&self, request: RequestFingerprint, cleared: &[CrashReport]) {
+    fn broadcast_cleared(&self, request: RequestFingerprint, cleared: &[CrashReport]) {
         if !cleared.is_empty() {
             log::info!(event = "crashes_cleared", request:% = request, crashes = cleared.len(); "");
-            self.peers.tell_crashes(cleared);
+            self.peers.broadcast_crashes(cleared);
         }
     }
 
-    /// Takes in reports; returns those that say something new.
-    pub(crate) fn take_crashes(&self, reports: &[CrashReport]) -> Vec<CrashReport> {
+    /// Merges crash reports into the ledger, and returns those that changed it.
+    pub(crate) fn merge_crash_reports(&self, reports: &[CrashReport]) -> Vec<CrashReport> {
         let now_ms = self.now_ms();
         let mut ledger = self.crashes.ledger.lock();
-        let mut news = Vec::new();
+        let mut changed = Vec::new();
         for report in reports {
             let before = ledger.verdict(report.request);
-            if !ledger.take(now_ms, report) {
+            if !ledger.merge(now_ms, report) {
                 continue;
             }
-            news.push(*report);
+            changed.push(*report);
             let after = ledger.verdict(report.request);
             if before != after {
                 log_verdict(report, after);
                 self.crashes.blocked.notify_waiters();
             }
         }
-        news
+        changed
     }
 
-    /// What the other nodes are to be told again.
-    pub(crate) fn crashes_to_tell(&self) -> Vec<CrashReport> {
+    /// Returns the next reports to send again to other nodes.
+    pub(crate) fn crashes_to_resend(&self) -> Vec<CrashReport> {
         let now_ms = self.now_ms();
-        self.crashes.ledger.lock().to_tell(now_ms, REPORTS_TOLD)
+        self.crashes
+            .ledger
+            .lock()
+            .reports_to_resend(now_ms, MAX_REPORTS_PER_DATAGRAM)
     }
 
-    /// Forgets what is long ago.
+    /// Removes requests whose last crash is older than `CRASH_LIFE_MS`.
     pub(crate) fn forget_old_crashes(&self) {
-        self.crashes.ledger.lock().forget_old(self.now_ms());
+        self.crashes.ledger.lock().remove_expired(self.now_ms());
     }
 
-    /// Requests that are refused.
+    /// Returns the requests that this node refuses.
     pub(crate) fn blocked_requests(&self) -> Vec<BlockedRequest> {
         self.crashes.ledger.lock().blocked(self.now_ms())
     }
 
-    /// Requests under which workers crashed a while ago.
+    /// Returns the number of requests in the ledger, blocked or not.
     pub(crate) fn suspected_requests(&self) -> usize {
         self.crashes.ledger.lock().len()
     }
@@ -114,6 +122,6 @@
         Verdict::MayRun => "request_unblocked",
     };
     log::warn!(
-        event, request:% = report.request, reach = report.reach, age_ms = report.age_ms; ""
+        event, request:% = report.request, reach = report.last_event, age_ms = report.age_ms; ""
     );
 }
--- a/crates/pinerill-forward/src/peers/broadcast.rs
+++ b/crates/pinerill-forward/src/peers/broadcast.rs
@@ -1,4 +1,4 @@
-//! Tells others what this node, and a relay what its zone, has in flight.
+//! Broadcasts what this node has in flight and, if it is a relay, what its zone has in flight.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,49 +6,49 @@
 use pinerill_process::clock::{timeout_at, BootTime};
 use tokio::time::{sleep, timeout};
 
-use super::message::{PeerMessage, COUNTS_TOLD};
+use super::message::{PeerMessage, MAX_COUNTS_PER_DATAGRAM};
 use super::Peers;
 use crate::fleet::{TellingOrder, WorkerCount};
 use crate::node::Node;
 
-/// Shortest pause between two tellings, for each node of the zone that is told: the more
-/// there are, the more each has to hear. With 20 nodes and 30 workers a zone, the share
-/// of calls in time is 0.88 at 1.2 ms a node and 0.92 at 0.3 ms (means of two days with
+/// Pause between two broadcasts for each other node of the zone. It grows with the zone, since each
+/// node receives more messages the more nodes there are. With 20 nodes and 30 workers per zone, the
+/// share of calls in time is 0.88 with 1.2 ms per node and 0.92 with 0.3 ms (means of two days with
 /// faults, two seeds each).
 const PAUSE_PER_PEER: Duration = Duration::from_micros(300);
-/// Bounds of that pause.
+/// Shortest pause between two broadcasts.
 const SHORTEST_PAUSE: Duration = Duration::from_millis(6);
+/// Longest pause between two broadcasts.
 const LONGEST_PAUSE: Duration = Duration::from_millis(150);
-/// Pause between two tellings of a zone's counts by one relay, for each other zone: a node
-/// hears 80 such messages a second of two relays a zone, however many zones and nodes there
-/// are. Each costs it some 26 us of processor time; with 200 a second, at 40 ms and five
-/// zones, all processes of 250 nodes took 241 s on a quiet day, and 160 s with none.
+/// Pause between two broadcasts of a zone's counts by one relay, for each other zone. With two relays
+/// per zone, a node receives 80 such messages per second whatever the number of zones and nodes.
+/// Each costs a node some 26 us of processor time: with 200 per second, at 40 ms and five zones, all
+/// processes of 250 nodes used 241 s on a day of low load, against 160 s without these messages.
 pub(super) const PAUSE_PER_ZONE: Duration = Duration::from_millis(25);
-/// How long a change is held back while calls wait here: a place that becomes free is
-/// taken again at once by one of them, and a peer that was told of it in between would
-/// take it too.
+/// Delay before a change is broadcast while calls wait here. One of them takes a free slot at once,
+/// and a peer that received the count in between would send a call to the same slot.
 const GATHER_PAUSE: Duration = Duration::from_millis(2);
-/// Counts are told again after this time though nothing changed, since a
-/// datagram may have been lost.
+/// Time after which counts are broadcast again without a change, since a datagram may have been
+/// lost.
 const REPEAT_PAUSE: Duration = Duration::from_millis(500);
-/// Time beyond the pause between two tellings for which a promised place counts as taken:
-/// until the node that it was promised to has told that it sent a call there.
+/// Time in addition to the broadcast pause for which a promised slot counts as occupied, so that the
+/// other node's broadcast of the call that it sent there arrives before.
 const PROMISE_MARGIN: Duration = Duration::from_millis(6);
 
 impl Peers {
-    /// Pause between two tellings of this node's counts.
+    /// Returns the pause between two broadcasts of this node's counts.
     fn pause(&self) -> Duration {
-        let peers = self.near_count() as u32;
+        let peers = self.zone_peer_count() as u32;
         (PAUSE_PER_PEER * peers).clamp(SHORTEST_PAUSE, LONGEST_PAUSE)
     }
 }
 
-/// How long a place that is promised to another node counts as taken.
+/// Returns for how long a slot that is promised to another node counts as occupied.
 pub(crate) fn promise_time(peers: &Peers) -> Duration {
     peers.pause() + PROMISE_MARGIN
 }
 
-/// Names the messages of one task of this node.
+/// Numbers the messages of one broadcast task, so that receivers can drop late ones.
 struct Sequence(TellingOrder);
 
 impl Sequence {
@@ -65,24 +65,25 @@
     }
 }
 
-/// Tells the nodes of the zone what is in flight and lacking here, whenever it changes.
+/// Broadcasts this node's requests in flight and its unmet demand to the zone, at each change and at
+/// least every [`REPEAT_PAUSE`] until it is idle.
 pub(crate) async fn broadcast_counts(node: Arc<Node>) {
-    let mut idle_told = false;
+    let mut idle_sent = false;
     let mut sequence = Sequence::new();
     loop {
-        let counts = bounded(node.with_fleet(|fleet, now_ms| fleet.in_flight(now_ms)));
+        let counts = largest_counts(node.with_fleet(|fleet, now_ms| fleet.in_flight(now_ms)));
         let demand = node.dispatcher.own_demand(&node);
         let idle = counts.is_empty() && demand.is_empty();
-        if !(idle && idle_told) {
-            node.peers.send_near(&PeerMessage::InFlight {
+        if !(idle && idle_sent) {
+            node.peers.broadcast_to_zone(&PeerMessage::InFlight {
                 order: sequence.next(),
                 counts,
                 demand,
             });
         }
-        idle_told = idle;
+        idle_sent = idle;
         sleep(node.peers.pause()).await;
-        // Either something changed or it is time to repeat what was told.
+        // Continues at a change or when it is time to repeat the last broadcast.
         let _ = timeout(REPEAT_PAUSE, node.peers.changed.notified()).await;
         if node.dispatcher.waiting() > 0 {
             sleep(GATHER_PAUSE).await;
@@ -90,12 +91,12 @@
     }
 }
 
-/// Tells relays of other zones what is in flight in this one, while this node is a relay.
+/// Sends the requests in flight in this zone to relays of other zones, while this node is a relay.
 pub(crate) async fn broadcast_zone_counts(node: Arc<Node>) {
     let mut sequence = Sequence::new();
     loop {
-        let Some(relays) = node.peers.told_relays() else {
-            // The leader may name this node later.
+        let Some(relays) = node.peers.target_relays() else {
+            // The leader may appoint this node as a relay later.
             sleep(REPEAT_PAUSE).await;
             continue;
         };
@@ -104,18 +105,17 @@
         let message = PeerMessage::ZoneInFlight {
             order: sequence.next(),
             zone: node.settings.zone.clone(),
-            counts: bounded(counts),
+            counts: largest_counts(counts),
         };
-        node.peers.send_far(&message, relays);
+        node.peers.send_to_other_zones(&message, relays);
         sleep(pause).await;
-        until_worth_telling(&node).await;
+        wait_for_relevant_change(&node).await;
     }
 }
 
-/// Waits until something has changed that other zones should hear at once, or for a while. How
-/// many requests run in a zone with much room decides nothing elsewhere, and bytes between
-/// zones are dear.
-async fn until_worth_telling(node: &Node) {
+/// Waits for a change that other zones need at once, or for [`REPEAT_PAUSE`]. Counts of a zone with
+/// many free slots do not affect decisions elsewhere, and traffic between zones is expensive.
+async fn wait_for_relevant_change(node: &Node) {
     let until = BootTime::now() + REPEAT_PAUSE;
     while timeout_at(until, node.peers.zone_changed.notified())
         .await
@@ -127,11 +127,11 @@
     }
 }
 
-/// As many counts as fit into a datagram, the largest ones.
-fn bounded(mut counts: Vec<WorkerCount>) -> Vec<WorkerCount> {
-    if counts.len() > COUNTS_TOLD {
+/// Returns as many counts as fit into a datagram, keeping the largest ones.
+fn largest_counts(mut counts: Vec<WorkerCount>) -> Vec<WorkerCount> {
+    if counts.len() > MAX_COUNTS_PER_DATAGRAM {
         counts.sort_unstable_by_key(|count| std::cmp::Reverse(count.requests));
-        counts.truncate(COUNTS_TOLD);
+        counts.truncate(MAX_COUNTS_PER_DATAGRAM);
     }
     counts
 }
--- a/crates/pinerill-forward/src/peers/message.rs
+++ b/crates/pinerill-forward/src/peers/message.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other.
+//! Messages that nodes send each other as datagrams.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,62 +6,63 @@
 use crate::dispatch::demand::ServiceDemand;
 use crate::fleet::{TellingOrder, WorkerCount, WorkerKey};
 
-/// Longest datagram, bytes: one packet of the usual networks.
+/// Longest datagram in bytes, which fits into one packet of common networks.
 pub(super) const DATAGRAM_BYTES: usize = 1_400;
-/// Counts in one message at most, some 6 bytes each; what is in flight at other workers
-/// is not told.
-pub(super) const COUNTS_TOLD: usize = 200;
+/// Limit on the counts in one message, some 6 bytes each. Counts of further workers are left out.
+pub(super) const MAX_COUNTS_PER_DATAGRAM: usize = 200;
 
-/// One datagram.
+/// Content of one datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) enum PeerMessage {
-    /// To nodes of the zone: a prompt was sent to a worker.
+    /// To nodes of the zone: the sender sent a long prompt to a worker.
     PromptSent {
-        /// The worker.
+        /// Worker that got the prompt.
         worker: WorkerKey,
-        /// Time that reading it is expected to take, milliseconds.
+        /// Expected prefill time of the prompt, milliseconds.
         prefill_ms: f64,
     },
-    /// To nodes of the zone: all that the node has in flight and lacks.
+    /// To nodes of the zone: everything that the sender has in flight, and its unmet demand.
     InFlight {
-        /// Which message of the node it is.
+        /// Position in the sequence of such messages from the node, so that late ones are dropped.
         order: TellingOrder,
-        /// By worker.
+        /// Number of requests in flight at each worker.
         counts: Vec<WorkerCount>,
-        /// By service.
+        /// Unmet demand of each service.
         demand: Vec<ServiceDemand>,
     },
-    /// From relay to relay, and on to the nodes of its zone: all that the nodes of a zone
-    /// have in flight.
+    /// From a relay to a relay of another zone, which forwards it to the nodes of its zone: everything
+    /// that the nodes of the sender's zone have in flight.
     ZoneInFlight {
-        /// Which message of the relay it is.
+        /// Position in the sequence of such messages from the relay, so that late ones are dropped.
         order: TellingOrder,
-        /// The zone.
+        /// Name of the sender's zone.
         zone: String,
-        /// By worker.
+        /// Number of requests in flight at each worker.
         counts: Vec<WorkerCount>,
     },
-    /// To nodes of the zone: a worker did not answer.
+    /// To nodes of the zone: a worker did not answer the sender.
     NoAnswer {
-        /// The worker.
+        /// Worker that did not answer.
         worker: WorkerKey,
     },
-    /// To one node of the zone: a place at a worker is free and kept for it for a moment.
-    PlaceFree {
-        /// The worker.
+    /// To one node of the zone: a slot at a worker is free, and the sender reserves it for the
+    /// receiver for some milliseconds.
+    #[serde(rename = "PlaceFree")]
+    SlotFree {
+        /// Worker with the free slot.
         worker: WorkerKey,
     },
-    /// To all nodes, by relays: workers crashed under requests.
+    /// To all nodes, through relays and bridges: workers crashed under requests.
     Crashes(Vec<CrashReport>),
-    /// To nodes of the zone: a worker ended a connection on which it had a request.
+    /// To nodes of the zone: a worker closed a connection on which it had a request.
     Broke {
-        /// The worker.
+        /// Worker that closed the connection.
         worker: WorkerKey,
     },
 }
 
 impl PeerMessage {
-    /// What it is for, as a label.
+    /// Returns the kind of message as a label for traffic metrics.
     pub(super) fn purpose(&self) -> &'static str {
         match self {
             PeerMessage::PromptSent { .. } => "prompt",
@@ -70,7 +71,7 @@
             PeerMessage::NoAnswer { .. } => "no_answer",
             PeerMessage::Broke { .. } => "broke",
             PeerMessage::Crashes(_) => "crashes",
-            PeerMessage::PlaceFree { .. } => "place_free",
+            PeerMessage::SlotFree { .. } => "place_free",
         }
     }
 }
--- a/crates/pinerill-forward/src/peers/mod.rs
+++ b/crates/pinerill-forward/src/peers/mod.rs
@@ -1,33 +1,33 @@
-//! Nodes tell each other what they send to workers and what they lack.
+//! Exchange of load and demand between nodes by datagrams.
 //!
-//! A worker's load report comes with an answer, so that it is old and many nodes
-//! have none; and it counts requests, not tokens. So each node tells the others of its
-//! zone, by datagrams, how many requests it has at which worker and how many calls wait
-//! there, whenever that changes, and each prompt that takes a while to read.
+//! A worker's load report comes with an answer, so it is old and many nodes have none; and it counts
+//! requests, not tokens. Therefore each node broadcasts to the nodes of its zone how many requests it
+//! has in flight at each worker and how many calls wait in its queue, whenever that changes, and each
+//! prompt with a long prefill.
 //!
-//! Nodes of other zones are not told one by one: that would grow with the square of the
-//! fleet, and bytes between zones are dear. [`RELAYS`] nodes of each zone, named by the
-//! leader, sum up what their zone has in flight and tell one relay of each other zone,
-//! which hands it on to its own. The path of each relay is its own, so that one that
-//! dies, freezes or is cut off costs a slower pace until the leader names another.
+//! Nodes of other zones are not sent this one by one: that traffic would grow with the square of the
+//! fleet, and traffic between zones is expensive. The leader appoints a few relays in each zone. Each
+//! relay sums up what its zone has in flight and sends it to one relay of each other zone, which
+//! forwards it to its own zone. The relays of a zone use different paths, so that a relay that
+//! crashes, freezes or is partitioned only slows the updates down until the leader appoints another.
 //!
 //! | from | to | what | how often |
 //! |---|---|---|---|
-//! | node | nodes of its zone | counts, calls that wait ([`message::PeerMessage::InFlight`]) | at each change, at a pace that falls with their number |
-//! | node | nodes of its zone | long prompts, workers that did not answer | each |
-//! | node | one node of its zone | a place that became free | while calls wait there |
-//! | relay | one relay of each other zone, and from there to all its nodes | counts of the zone | each [`broadcast::PAUSE_PER_ZONE`] times the other zones, while they change |
-//! | node | nodes of its zone, by relays and bridges all others | crashes of workers under requests ([`crashes`]) | each, and again for a while |
+//! | node | nodes of its zone | requests in flight, waiting calls ([`message::PeerMessage::InFlight`]) | at each change, at a rate that falls with the number of nodes |
+//! | node | nodes of its zone | long prompts, workers that did not answer or closed a connection | each |
+//! | node | one node of its zone | a slot that became free | while calls wait at that node |
+//! | relay | one relay of each other zone, and from there all its nodes | requests in flight in the zone | every [`broadcast::PAUSE_PER_ZONE`] times the number of other zones, while they change |
+//! | node | nodes of its zone and, through relays and bridges, all others | crashes of workers under requests ([`crashes`]) | each, and again for some seconds |
 //!
-//! Zones are those of the node's cell ([`pinerill_calls::cells`]). What all nodes must hear
-//! goes on to the nodes that bridge to some other cells, and from there to more.
+//! Zones are those of the node's cell ([`pinerill_calls::cells`]). Messages for all nodes are
+//! forwarded to bridge nodes of some other cells, and from there to further cells.
 //!
-//! A datagram that is lost costs a worse choice and nothing else.
+//! A lost datagram can cause a worse choice of a worker and nothing else.
 //!
-//! On a fleet of 250 nodes and 130 workers in five zones, on a day on which a sixth of the
-//! workers fall silent, the share of the day's worth that callers got rose from 0.858 to
-//! 0.923 and 0.950 (one run before, two after; with the places that are promised by
-//! [`crate::dispatch::demand`] and the shorter waits for connections).
+//! On a fleet of 250 nodes and 130 workers in five zones, with a sixth of the workers becoming
+//! unresponsive during the day, callers get 0.923 and 0.950 of the day's possible value in two runs,
+//! against 0.858 in one run without this exchange, the slots that are promised by
+//! [`crate::dispatch::demand`] and the shorter connect timeouts.
 
 mod broadcast;
 mod crashes;
@@ -50,39 +50,39 @@
 pub(crate) use crashes::resend_crash_reports;
 pub(crate) use receive::receive;
 
-/// Prompts that take less time are not told, milliseconds.
-const TOLD_FROM_MS: f64 = 10.0;
+/// Shortest expected prefill time for which a prompt is broadcast, milliseconds.
+const MIN_BROADCAST_PREFILL_MS: f64 = 10.0;
 
-/// Where the other nodes are.
+/// Addresses of the other nodes.
 #[derive(Debug, Default)]
 struct Addresses {
-    /// Those of this zone but for this node.
-    near: Vec<SocketAddr>,
-    /// The relays of other zones, those of each zone in the same order at all nodes.
-    far_relays: Vec<Vec<SocketAddr>>,
-    /// This node's place among the relays of its zone; none if it is none.
-    own_place: Option<usize>,
-    /// Nodes of other cells.
+    /// All nodes of this zone except this node.
+    zone_peers: Vec<SocketAddr>,
+    /// Relays of each other zone, in the same order at all nodes.
+    remote_relays: Vec<Vec<SocketAddr>>,
+    /// Index of this node among the relays of its zone; `None` if it is not a relay.
+    relay_index: Option<usize>,
+    /// Nodes of other cells to which this node is a bridge; empty if it is not a bridge.
     bridges: Vec<SocketAddr>,
 }
 
-/// The other nodes.
+/// Socket and addresses for messages to other nodes.
 pub(crate) struct Peers {
     socket: UdpSocket,
     addresses: RwLock<Addresses>,
-    /// What is in flight or waits here has changed.
+    /// Signals that requests in flight or waiting calls of this node have changed.
     changed: Notify,
-    /// What is in flight in this zone has changed.
+    /// Signals that requests in flight in this zone have changed.
     zone_changed: Notify,
-    /// Bytes of datagrams.
+    /// Counts the datagrams and bytes sent.
     traffic: Traffic,
 }
 
 impl Peers {
-    /// Listens for the others.
+    /// Binds the socket for messages of other nodes.
     ///
     /// # Errors
-    /// When the address can't be had.
+    /// Returns an error if the address can't be bound.
     pub(crate) async fn listen(address: SocketAddr) -> io::Result<Self> {
         Ok(Peers {
             socket: UdpSocket::bind(address).await?,
@@ -93,73 +93,75 @@
         })
     }
 
-    /// Takes in where the other nodes are.
-    pub(crate) fn learn(&self, zone: &str, processes: &Processes) {
+    /// Replaces the addresses of the other nodes. `zone` is the zone of this node.
+    pub(crate) fn update_addresses(&self, zone: &str, processes: &Processes) {
         let own = self.socket.local_addr().ok();
-        let mut near = processes.peers.clone();
-        near.retain(|address| Some(*address) != own);
+        let mut zone_peers = processes.peers.clone();
+        zone_peers.retain(|address| Some(*address) != own);
         let relays = &processes.relays;
         let own_relays = relays.iter().find(|one| one.zone == zone);
-        let own_place = own_relays.and_then(|one| {
-            let mut places = one.addresses.iter();
-            places.position(|address| Some(*address) == own)
+        let relay_index = own_relays.and_then(|one| {
+            let mut relay_addresses = one.addresses.iter();
+            relay_addresses.position(|address| Some(*address) == own)
         });
-        let far = relays.iter().filter(|one| one.zone != zone);
+        let remote = relays.iter().filter(|one| one.zone != zone);
         *self.addresses.write() = Addresses {
-            near,
-            far_relays: far.map(|one| one.addresses.clone()).collect(),
-            own_place,
+            zone_peers,
+            remote_relays: remote.map(|one| one.addresses.clone()).collect(),
+            relay_index,
             bridges: processes.bridges.clone(),
         };
     }
 
-    /// What is in flight or waits here has changed.
+    /// Signals that requests in flight or waiting calls of this node have changed, so that they are
+    /// broadcast.
     pub(crate) fn notify_changed(&self) {
         self.changed.notify_one();
         self.zone_changed.notify_one();
     }
 
-    /// Tells the others of a prompt.
+    /// Broadcasts to the zone that a prompt was sent to a worker, unless its expected prefill time
+    /// is short. The time is in milliseconds.
     pub(crate) fn broadcast_prompt(&self, worker: &str, prefill_ms: f64) {
-        if prefill_ms < TOLD_FROM_MS {
+        if prefill_ms < MIN_BROADCAST_PREFILL_MS {
             return;
         }
-        self.send_near(&PeerMessage::PromptSent {
+        self.broadcast_to_zone(&PeerMessage::PromptSent {
             worker: WorkerKey::of(worker),
             prefill_ms,
         });
     }
 
-    /// Tells the others that a worker did not answer.
+    /// Broadcasts to the zone that a worker did not answer.
     pub(crate) fn broadcast_no_answer(&self, worker: &str) {
-        self.send_near(&PeerMessage::NoAnswer {
+        self.broadcast_to_zone(&PeerMessage::NoAnswer {
             worker: WorkerKey::of(worker),
         });
     }
 
-    /// Tells the others that a worker ended a connection on which it had a request.
+    /// Broadcasts to the zone that a worker closed a connection on which it had a request.
     pub(crate) fn broadcast_connection_loss(&self, worker: &str) {
-        self.send_near(&PeerMessage::Broke {
+        self.broadcast_to_zone(&PeerMessage::Broke {
             worker: WorkerKey::of(worker),
         });
     }
 
-    /// Promises a place to a node of this zone.
+    /// Tells a node of this zone that a free slot at a worker is reserved for it.
     pub(crate) fn send_promise(&self, to: SocketAddr, worker: WorkerKey) {
-        self.send(&PeerMessage::PlaceFree { worker }, Reach::Near, [to]);
+        self.send(&PeerMessage::SlotFree { worker }, Reach::Near, [to]);
     }
 
-    fn send_near(&self, message: &PeerMessage) {
-        let near = &self.addresses.read().near;
-        self.send(message, Reach::Near, near.iter().copied());
+    fn broadcast_to_zone(&self, message: &PeerMessage) {
+        let zone_peers = &self.addresses.read().zone_peers;
+        self.send(message, Reach::Near, zone_peers.iter().copied());
     }
 
-    fn send_to_near(&self, message: &PeerMessage, to: impl IntoIterator<Item = SocketAddr>) {
+    fn send_in_zone(&self, message: &PeerMessage, to: impl IntoIterator<Item = SocketAddr>) {
         self.send(message, Reach::Near, to);
     }
 
-    /// Sends to other zones.
-    fn send_far(&self, message: &PeerMessage, to: Vec<SocketAddr>) {
+    /// Sends a message to nodes of other zones or cells.
+    fn send_to_other_zones(&self, message: &PeerMessage, to: Vec<SocketAddr>) {
         self.send(message, Reach::Far, to);
     }
 
@@ -167,36 +169,36 @@
         let datagram = encode(message);
         let mut sent = 0;
         for address in to {
-            // A socket that is full loses this one, as the network may.
+            // The datagram is dropped if the socket's buffer is full, as the network may do too.
             sent += usize::from(self.socket.try_send_to(&datagram, address).is_ok());
         }
         self.traffic
             .sent(message.purpose(), reach, sent, datagram.len());
     }
 
-    /// Bytes of datagrams by what they are for.
+    /// Returns the datagrams and bytes sent, by kind of message.
     pub(crate) fn traffic(&self) -> &Traffic {
         &self.traffic
     }
 
-    /// The relays to which this node tells its zone's counts: of each other zone the one
-    /// in its own place, or the last one there. None if it is no relay.
-    fn told_relays(&self) -> Option<Vec<SocketAddr>> {
+    /// Returns the relays to which this node sends the counts of its zone: of each other zone the one
+    /// with the same index, or the last one. `None` if this node is not a relay.
+    fn target_relays(&self) -> Option<Vec<SocketAddr>> {
         let addresses = self.addresses.read();
-        let place = addresses.own_place?;
-        let far = addresses.far_relays.iter();
-        let told = far.filter_map(|zone| zone.get(place).or(zone.last()).copied());
-        Some(told.collect())
+        let index = addresses.relay_index?;
+        let remote = addresses.remote_relays.iter();
+        let targets = remote.filter_map(|zone| zone.get(index).or(zone.last()).copied());
+        Some(targets.collect())
     }
 
-    /// All relays of other zones; none if this node is no relay.
-    fn all_far_relays(&self) -> Option<Vec<SocketAddr>> {
+    /// Returns all relays of other zones; `None` if this node is not a relay.
+    fn all_remote_relays(&self) -> Option<Vec<SocketAddr>> {
         let addresses = self.addresses.read();
-        addresses.own_place?;
-        Some(addresses.far_relays.concat())
+        addresses.relay_index?;
+        Some(addresses.remote_relays.concat())
     }
 
-    /// Nodes of other cells to which this one hands on what all must hear.
+    /// Returns the nodes of other cells to which this node forwards messages for all nodes.
     fn bridges(&self) -> Vec<SocketAddr> {
         self.addresses.read().bridges.clone()
     }
@@ -205,23 +207,23 @@
         self.addresses.read().bridges.contains(&address)
     }
 
-    /// The other nodes of this zone.
-    fn near(&self) -> Vec<SocketAddr> {
-        self.addresses.read().near.clone()
+    /// Returns the other nodes of this zone.
+    fn zone_peers(&self) -> Vec<SocketAddr> {
+        self.addresses.read().zone_peers.clone()
     }
 
-    fn near_count(&self) -> usize {
-        self.addresses.read().near.len()
+    fn zone_peer_count(&self) -> usize {
+        self.addresses.read().zone_peers.len()
     }
 
-    fn is_near(&self, address: SocketAddr) -> bool {
-        self.addresses.read().near.contains(&address)
+    fn is_zone_peer(&self, address: SocketAddr) -> bool {
+        self.addresses.read().zone_peers.contains(&address)
     }
 
-    fn is_far_relay(&self, address: SocketAddr) -> bool {
+    fn is_remote_relay(&self, address: SocketAddr) -> bool {
         let addresses = self.addresses.read();
         addresses
-            .far_relays
+            .remote_relays
             .iter()
             .any(|zone| zone.contains(&address))
     }
--- a/crates/pinerill-forward/src/peers/receive.rs
+++ b/crates/pinerill-forward/src/peers/receive.rs
@@ -1,4 +1,4 @@
-//! Takes in what other nodes tell.
+//! Receives the messages of other nodes and applies them to this node's state.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,41 +9,45 @@
 use crate::fleet::{TellingOrder, WorkerCount};
 use crate::node::Node;
 
-/// Takes in what the others tell until the node ends.
+/// Receives and applies messages of other nodes until this node ends. Ignores senders that are
+/// neither a node of the zone, a relay of another zone nor a bridge to another cell.
 pub(crate) async fn receive(node: Arc<Node>) {
     let mut datagram = [0; DATAGRAM_BYTES];
     loop {
         let Ok((length, from)) = node.peers.socket.recv_from(&mut datagram).await else {
             continue;
         };
-        let (near, far) = (node.peers.is_near(from), node.peers.is_far_relay(from));
-        let bridge = node.peers.is_bridge(from);
-        if !near && !far && !bridge {
+        let (from_zone, from_relay) = (
+            node.peers.is_zone_peer(from),
+            node.peers.is_remote_relay(from),
+        );
+        let from_bridge = node.peers.is_bridge(from);
+        if !from_zone && !from_relay && !from_bridge {
             continue;
         }
         match decode::<PeerMessage>(&datagram[..length]) {
-            Ok(message @ PeerMessage::ZoneInFlight { .. }) if far => {
-                node.peers.send_near(&message);
-                take_in(&node, from, message);
+            Ok(message @ PeerMessage::ZoneInFlight { .. }) if from_relay => {
+                node.peers.broadcast_to_zone(&message);
+                apply(&node, from, message);
             }
             Ok(PeerMessage::Crashes(reports)) => {
-                let news = node.take_crashes(&reports);
-                if near || bridge {
-                    node.peers.hand_crashes_on(&news);
+                let changed = node.merge_crash_reports(&reports);
+                if from_zone || from_bridge {
+                    node.peers.forward_crashes_to_relays(&changed);
                 }
-                if !near {
-                    node.peers.tell_crashes_near(&news);
+                if !from_zone {
+                    node.peers.broadcast_crashes_in_zone(&changed);
                 }
-                node.peers.hand_crashes_to_cells(&news);
+                node.peers.forward_crashes_to_cells(&changed);
             }
-            Ok(message) if near => take_in(&node, from, message),
-            // A message of another version, or one that only nodes of the zone may send.
+            Ok(message) if from_zone => apply(&node, from, message),
+            // The message is of another version, or only nodes of the zone may send it.
             Ok(_) | Err(_) => node.metrics.peer_messages_dropped.inc(),
         }
     }
 }
 
-fn take_in(node: &Arc<Node>, from: SocketAddr, message: PeerMessage) {
+fn apply(node: &Arc<Node>, from: SocketAddr, message: PeerMessage) {
     match message {
         PeerMessage::PromptSent { worker, prefill_ms } => node.with_fleet(|fleet, now_ms| {
             fleet.expect_prefill_at(now_ms, worker, prefill_ms);
@@ -58,7 +62,7 @@
             if taken {
                 node.dispatcher
                     .record_peer_demand(node.now_ms(), from, demand);
-                look_again(node);
+                wake_dispatcher(node);
                 node.peers.zone_changed.notify_one();
             }
         }
@@ -66,34 +70,36 @@
             order,
             zone,
             counts,
-        } => take_zone(node, &zone, order, counts),
+        } => apply_zone_counts(node, &zone, order, counts),
         PeerMessage::NoAnswer { worker } => {
             node.with_fleet(|fleet, now_ms| fleet.suspect(now_ms, from, worker));
         }
         PeerMessage::Broke { worker } => {
             node.with_fleet(|fleet, now_ms| fleet.broke_for_others(now_ms, worker));
         }
-        // Taken in before, since it also comes from relays of other zones.
+        // Handled in `receive`, since relays of other zones and bridges send these too.
         PeerMessage::Crashes(_) => {}
-        // A place for which no call waits any more is free again for the node that promised it.
-        PeerMessage::PlaceFree { worker } => {
+        // Nothing else is needed if no call waits any more: the promising node counts the slot as
+        // free again once the promise expires.
+        PeerMessage::SlotFree { worker } => {
             node.dispatcher.grant_promised_slot(node, worker);
         }
     }
 }
 
-fn take_zone(node: &Arc<Node>, zone: &str, order: TellingOrder, counts: Vec<WorkerCount>) {
+fn apply_zone_counts(node: &Arc<Node>, zone: &str, order: TellingOrder, counts: Vec<WorkerCount>) {
     if zone == node.settings.zone {
         return;
     }
     let taken = node.with_fleet(|fleet, now_ms| fleet.take_zone(now_ms, zone, order, counts));
     if taken {
-        look_again(node);
+        wake_dispatcher(node);
     }
 }
 
-/// There may be room for calls that wait here, or items here that can help others.
-fn look_again(node: &Node) {
+/// Wakes the dispatcher if calls wait here, for which there may be a slot now, or at other nodes, for
+/// which items of this node can yield their slots.
+fn wake_dispatcher(node: &Node) {
     if node.dispatcher.waiting() > 0 || node.dispatcher.peers_have_waiting_calls(node.now_ms()) {
         node.dispatcher.changed.notify_one();
     }
--- a/crates/pinerill-forward/tests/cluster_client.rs
+++ b/crates/pinerill-forward/tests/cluster_client.rs
@@ -1,4 +1,5 @@
-//! Asking the control machines while some of them don't answer.
+//! Tests that requests reach the leader or a near group member while some control machines do not
+//! answer, without waiting for an unresponsive machine more than once.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -17,7 +18,8 @@
 
 const LONG: Duration = Duration::from_secs(20);
 
-/// Leads, or names a machine that does.
+/// Control machine that answers as the leader if `leader` is `None`, and otherwise refuses and names
+/// the leader. Counts its requests.
 struct Machine {
     leader: Option<SocketAddr>,
     asked: Arc<AtomicU32>,
@@ -63,8 +65,9 @@
     (address, asked)
 }
 
-/// Takes connections and never says a word, as a machine behind a cut.
-async fn start_silent() -> (SocketAddr, Arc<AtomicU32>) {
+/// Starts a listener that accepts connections and never answers, as a partitioned machine does.
+/// Returns its address and the number of accepted connections.
+async fn start_unresponsive() -> (SocketAddr, Arc<AtomicU32>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listen");
     let address = listener.local_addr().expect("an address");
     let connected = Arc::new(AtomicU32::new(0));
@@ -96,11 +99,11 @@
 }
 
 #[tokio::test]
-async fn those_who_wait_together_wait_for_a_silent_machine_once() {
-    let (silent, connected) = start_silent().await;
+async fn concurrent_requests_wait_for_an_unresponsive_machine_once() {
+    let (unresponsive, connected) = start_unresponsive().await;
     let (leader, _) = start(None).await;
     let client = ClusterClient::new(identity(Role::Node), &[leader]);
-    client.update_control_machines(vec![near(silent), far(leader)]);
+    client.update_control_machines(vec![near(unresponsive), far(leader)]);
     let request = CallsRequest::EndJob(CallJobId::new(None, "j"));
     let calls = (0..10).map(|_| client.call_near(&request, LONG, Duration::ZERO));
     let answers = futures_util::future::join_all(calls).await;
@@ -109,10 +112,10 @@
 }
 
 #[tokio::test]
-async fn a_machine_that_was_silent_is_not_asked_next() {
-    let (silent, connected) = start_silent().await;
+async fn an_unresponsive_machine_is_skipped_by_the_next_requests() {
+    let (unresponsive, connected) = start_unresponsive().await;
     let (leader, asked) = start(None).await;
-    let client = ClusterClient::new(identity(Role::Node), &[silent, leader]);
+    let client = ClusterClient::new(identity(Role::Node), &[unresponsive, leader]);
     let request = CallsRequest::EndJob(CallJobId::new(None, "j"));
     for _ in 0..5 {
         let answer = client.call(&request, LONG, Duration::ZERO).await;
@@ -123,7 +126,7 @@
 }
 
 #[tokio::test]
-async fn the_leader_that_a_machine_names_is_asked() {
+async fn a_redirect_to_the_leader_is_followed_and_remembered() {
     let (leader, asked) = start(None).await;
     let (follower, refused) = start(Some(leader)).await;
     let client = ClusterClient::new(identity(Role::Node), &[follower]);
@@ -141,9 +144,9 @@
 }
 
 #[tokio::test]
-async fn a_leader_that_is_named_but_silent_does_not_hold_up_the_others() {
-    let (silent, connected) = start_silent().await;
-    let (follower, _) = start(Some(silent)).await;
+async fn a_redirect_to_an_unresponsive_leader_does_not_block_other_machines() {
+    let (unresponsive, connected) = start_unresponsive().await;
+    let (follower, _) = start(Some(unresponsive)).await;
     let (leader, _) = start(None).await;
     let client = ClusterClient::new(identity(Role::Node), &[follower, leader]);
     let request = CallsRequest::EndJob(CallJobId::new(None, "j"));
@@ -152,18 +155,19 @@
     assert!(connected.load(Ordering::SeqCst) <= 1);
 }
 
-/// Where nine of 45 machines vote, four of five near ones could only refuse.
+/// Guards against sending such requests to machines outside the group: with nine group members among
+/// 45 machines, four of five near machines could only refuse.
 #[tokio::test]
-async fn what_any_member_can_answer_is_asked_at_a_near_member() {
+async fn requests_for_any_member_go_to_a_near_member() {
     let (leader, asked) = start(None).await;
-    let (stranger, refused) = start(Some(leader)).await;
+    let (outsider, refused) = start(Some(leader)).await;
     let (member, answered) = start(None).await;
     let client = ClusterClient::new(identity(Role::Node), &[leader]);
-    let no_member = ControlAddress {
+    let non_member = ControlAddress {
         is_member: false,
-        ..near(stranger)
+        ..near(outsider)
     };
-    client.update_control_machines(vec![no_member, near(member), far(leader)]);
+    client.update_control_machines(vec![non_member, near(member), far(leader)]);
     let request = CallsRequest::EndJob(CallJobId::new(None, "j"));
     let answer = client.call_near(&request, LONG, Duration::ZERO).await;
     assert!(answer.is_ok());
--- a/crates/pinerill-forward/tests/crash_price.rs
+++ b/crates/pinerill-forward/tests/crash_price.rs
@@ -1,7 +1,7 @@
-//! What the search for requests that crash workers costs. In a release build a body of 18 KB is
-//! hashed in some 13 us, and a ledger is asked in less than 1 us. While no worker has crashed
-//! a while ago, only the bodies of runs that end early are hashed; before there was a
-//! ledger, none was. The bounds here are those of a build without optimisation on a busy machine.
+//! Bounds the cost of crash detection per request. In a release build, hashing a body of 18 KB takes
+//! some 13 us, and a lookup in the ledger less than 1 us. While the ledger is empty, only the bodies
+//! of runs that end early are hashed; without crash detection none would be. The bounds here allow for a build without optimization on a
+//! busy machine.
 
 use std::time::{Duration, Instant};
 
@@ -12,11 +12,11 @@
 
 const BODY_BYTES: usize = 18_000;
 const REPEATS: u32 = 200;
-const LONGEST_HASH: Duration = Duration::from_millis(10);
-const LONGEST_LOOK: Duration = Duration::from_micros(500);
+const MAX_HASH_TIME: Duration = Duration::from_millis(10);
+const MAX_LOOKUP_TIME: Duration = Duration::from_micros(500);
 
 #[test]
-fn a_body_is_hashed_once_and_a_look_into_the_ledger_is_short() {
+fn hashing_a_body_and_lookups_by_its_cached_fingerprint_stay_within_their_bounds() {
     let body = Bytes::from(vec![7; BODY_BYTES]);
     let identity = || {
         let uri = "/r/x".parse().expect("a path");
@@ -39,10 +39,10 @@
     for _ in 0..REPEATS {
         assert_eq!(ledger.verdict(identity.fingerprint()), Verdict::MayRun);
     }
-    let look = began.elapsed() / REPEATS;
-    println!("hash {hash:?}, look {look:?}");
+    let lookup = began.elapsed() / REPEATS;
+    println!("hash {hash:?}, lookup {lookup:?}");
     assert!(
-        hash < LONGEST_HASH && look < LONGEST_LOOK,
-        "{hash:?}, {look:?}"
+        hash < MAX_HASH_TIME && lookup < MAX_LOOKUP_TIME,
+        "{hash:?}, {lookup:?}"
     );
 }
--- a/crates/pinerill-forward/tests/list_pace.rs
+++ b/crates/pinerill-forward/tests/list_pace.rs
@@ -1,13 +1,14 @@
-//! Nodes that read the platform list themselves leave the leader its part of the list's rate.
+//! Tests that nodes which read the worker list themselves leave the leader its share of the list's
+//! rate.
 
 use std::time::Duration;
 
 use pinerill_forward::cluster::list_pace::{pause_after_failures, reading_pause};
 
-/// Calls a second that the users' list answers.
+/// Requests per second that the platform's worker list serves.
 const CALLS_PER_S: f64 = 44.0;
 
-/// Calls a second of so many nodes whose readings have so many pages.
+/// Returns the mean requests per second of `nodes` nodes whose reads have `pages` pages each.
 fn calls_per_s(nodes: u32, pages: usize) -> f64 {
     let pauses = (0..100).map(|part| {
         let random = (f64::from(part) + 0.5) / 100.0;
@@ -17,10 +18,10 @@
     f64::from(nodes) * pages as f64 / mean_pause_s
 }
 
-/// With a pause of two to four seconds whatever their number, 250 nodes with three pages ask for
-/// 250 calls a second; so 22.
+/// Guards against a rate that grows with the fleet: with a fixed pause of two to four seconds, 250
+/// nodes that read three pages each send 250 requests per second, and with these pauses 22.
 #[test]
-fn nodes_use_up_half_of_the_rate_at_any_number() {
+fn any_number_of_nodes_uses_at_most_half_of_the_rate() {
     for (nodes, pages) in [(1, 1), (6, 1), (50, 2), (250, 3), (1_600, 220)] {
         let calls = calls_per_s(nodes, pages);
         assert!(
@@ -30,9 +31,10 @@
     }
 }
 
-/// A node that has heard no leader yet doesn't know how many others read.
+/// Guards against overload by nodes that have had no answer from a leader, so that they don't know how
+/// many others read the list.
 #[test]
-fn nodes_that_know_of_no_others_leave_the_list_alone_once_it_refuses_them() {
+fn nodes_that_know_of_no_others_back_off_when_reads_fail() {
     let pause = reading_pause(0, 1, CALLS_PER_S, 0.5);
     let mut rate = Vec::new();
     for failures in 0..8 {
@@ -46,7 +48,7 @@
 }
 
 #[test]
-fn few_nodes_read_each_two_to_four_seconds() {
+fn in_a_small_fleet_each_node_reads_every_two_to_four_seconds() {
     for random in [0.0, 0.5, 1.0] {
         let pause = reading_pause(6, 1, CALLS_PER_S, random);
         assert_eq!(pause.as_secs_f64(), 2.0 * (1.0 + random));
