--- a/crates/pinerill-forward/src/cluster/watch.rs
+++ b/crates/pinerill-forward/src/cluster/watch.rs
@@ -331,7 +331,7 @@
             true => CrashEvidence::Replaced,
             false => CrashEvidence::Unlisted,
         };
-        node.record_worker_crash(&worker.entry, evidence);
+        node.record_crash(&worker.entry, evidence);
     }
     let leaving = workers
         .iter()
--- a/crates/pinerill-forward/src/crash/tracker.rs
+++ b/crates/pinerill-forward/src/crash/tracker.rs
@@ -57,9 +57,7 @@
                     node.crashes.broken.lock().mark_alive(incarnation);
                     node.connections().put(&worker.id, connection, None);
                 }
-                Err(BreakReason::Refused) => {
-                    node.record_worker_crash(&worker, CrashEvidence::Refused)
-                }
+                Err(BreakReason::Refused) => node.record_crash(&worker, CrashEvidence::Refused),
                 // The worker may be partitioned; the worker list shows whether it has ended.
                 Err(_) => {}
             }
@@ -69,7 +67,7 @@
 
     /// Handles evidence that a worker's process has ended: reports the runs that ended with it.
     /// Ignores draining workers, which end without a crash.
-    pub(crate) fn record_worker_crash(&self, worker: &WorkerEntry, evidence: CrashEvidence) {
+    pub(crate) fn record_crash(&self, worker: &WorkerEntry, evidence: CrashEvidence) {
         if worker.state == WorkerState::Draining {
             return;
         }
--- a/crates/pinerill-forward/src/node.rs
+++ b/crates/pinerill-forward/src/node.rs
@@ -292,7 +292,7 @@
     fn worker_is_gone(&self, worker: &str, evidence: CrashEvidence) {
         let entry = self.with_fleet(|fleet, _| Some(fleet.worker(worker)?.entry().clone()));
         if let Some(entry) = entry {
-            self.record_worker_crash(&entry, evidence);
+            self.record_crash(&entry, evidence);
         }
     }
 
