--- a/crates/pinerill-forward/src/cluster/client.rs
+++ b/crates/pinerill-forward/src/cluster/client.rs
@@ -1,7 +1,7 @@
 //! Sends requests to the control machines, preferring the leader and following its redirects.
 //!
-//! Nodes use it for watches, jobs and leases. A request is retried at other machines until its
-//! time is up; the result says whether an earlier attempt may have been carried out.
+//! Nodes use it for watches, jobs and other requests. A request is retried at other machines until
+//! its time is up; the result says whether an earlier attempt may have been carried out.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
 /// keeps further requests from waiting for a machine that a request has just timed out on.
 const AVOID_TIME: Duration = Duration::from_millis(700);
 
-/// Connection to one address; the lock is held while it is being opened.
+/// Connection to one address; the lock is current while it is being opened.
 type SharedConnection = Arc<AsyncMutex<Option<Connection>>>;
 
 /// Failure of a request at all machines that it was sent to.
@@ -113,7 +113,7 @@
 
 impl ClusterClient {
     /// Creates a client that initially knows the given addresses of control machines. Requests
-    /// panic if `seeds` is empty.
+    /// panic while no address is known.
     pub fn new(identity: Identity, seeds: &[SocketAddr]) -> Self {
         let rotation = rand::random::<u32>() as usize;
         ClusterClient {
@@ -152,7 +152,8 @@
         self.addresses.lock().member_zones.clone()
     }
 
-    /// Replaces the known addresses and drops the connections to removed ones. Ignores an empty list.
+    /// Replaces the known addresses and drops the connections to removed ones. Ignores an empty
+    /// list.
     pub fn update_addresses(&self, known: Vec<SocketAddr>) {
         if known.is_empty() {
             return;
@@ -240,13 +241,13 @@
         };
         if let Some(address) = near {
             let limit = time.min(ATTEMPT_TIMEOUT + long_poll);
-            let sent_at = BootTime::now();
+            let started = BootTime::now();
             match self.call_address(address, request, limit).await {
                 Ok(answer) => {
                     return Ok(Answered {
                         response: answer.response,
                         maybe_done_before: false,
-                        sent_at,
+                        sent_at: started,
                         format: answer.format,
                     });
                 }
@@ -310,8 +311,8 @@
     async fn connection(&self, address: SocketAddr) -> Result<Connection, CallError> {
         let slot = self.connections.lock().entry(address).or_default().clone();
         let waited = BootTime::now();
-        let mut held = slot.lock().await;
-        if let Some(connection) = held.as_ref().filter(|one| !one.is_closed()) {
+        let mut current = slot.lock().await;
+        if let Some(connection) = current.as_ref().filter(|one| !one.is_closed()) {
             return Ok(connection.clone());
         }
         let failed_meanwhile = {
@@ -327,7 +328,7 @@
         let opened = opened.unwrap_or_else(|_| Err(not_connected(address)));
         match opened {
             Ok(opened) => {
-                *held = Some(opened.clone());
+                *current = Some(opened.clone());
                 Ok(opened)
             }
             Err(error) => {
--- a/crates/pinerill-forward/src/cluster/older_leader.rs
+++ b/crates/pinerill-forward/src/cluster/older_leader.rs
@@ -92,13 +92,13 @@
         position: Option<DirectoryPosition>,
         update: DirectoryUpdate,
     ) -> Result<DirectoryUpdate, DirectoryMismatch> {
-        let held = self.directory.take();
+        let previous = self.directory.take();
         let leader_digest = update.digest;
         let directory = match update.change {
             DirectoryChange::Whole(workers) => Directory::new(workers),
             change => {
-                let held = held.as_ref().map(|one| &one.directory);
-                Directory::apply_change(held, change)?
+                let previous = previous.as_ref().map(|one| &one.directory);
+                Directory::apply_change(previous, change)?
             }
         };
         let by_digest = format >= Format::DIGESTS;
--- a/crates/pinerill-forward/src/cluster/watch.rs
+++ b/crates/pinerill-forward/src/cluster/watch.rs
@@ -263,8 +263,8 @@
 }
 
 /// Records the time up to which the directory is confirmed: it shows the list as read `age` before
-/// the watch request was sent. An answer alone confirms nothing, since the leader answers even while
-/// it can't read the list.
+/// the watch request was sent. An answer alone confirms nothing, since the leader answers even
+/// while it can't read the list.
 fn confirm_directory(node: &Node, sent_at: BootTime, age: Duration) {
     let listed_ms = node.ms_at(sent_at) as i64 - age.as_millis() as i64;
     node.with_fleet(|fleet, _| fleet.confirm_directory(listed_ms));
@@ -373,8 +373,8 @@
         }
         let last_answer_ms = node.beliefs.control_heard_ms.load(Ordering::Relaxed);
         let silent_ms = node.now_ms().saturating_sub(last_answer_ms);
-        // Without a route table no call can be sent, so the node does not need workers yet. When all
-        // processes have just started, this leaves the list to the leader.
+        // Without a route table no call can be sent, so the node does not need workers yet. When
+        // all processes have just started, this leaves the list to the leader.
         let undated = node.beliefs.undated.load(Ordering::Relaxed);
         let is_needed = undated || Duration::from_millis(silent_ms) >= LIST_READ_DELAY;
         if !is_needed || node.table().is_none() {
--- a/crates/pinerill-forward/src/crash/broken_runs.rs
+++ b/crates/pinerill-forward/src/crash/broken_runs.rs
@@ -14,8 +14,8 @@
 /// are attributed to the same crash. It is short because a process that ends closes all its
 /// connections at once.
 const REFUSED_WITHIN_MS: u64 = 1_000;
-/// Longest time in milliseconds between the end of a run and evidence from a new incarnation or from
-/// the worker list, which lags by some seconds.
+/// Longest time in milliseconds between the end of a run and evidence from a new incarnation or
+/// from the worker list, which lags by some seconds.
 const REPLACED_WITHIN_MS: u64 = 6_000;
 /// Longest time in milliseconds between a run that this node closed and a crash which that run may
 /// have caused: a worker notices a closed connection with some delay.
--- a/crates/pinerill-forward/src/crash/fingerprint.rs
+++ b/crates/pinerill-forward/src/crash/fingerprint.rs
@@ -1,8 +1,8 @@
 //! Fingerprints that are equal for all attempts of the same request.
 //!
-//! A caller gives each attempt a new identifier, so identifiers can't be compared. Attempts with the
-//! same tenant or credentials, method, host, path, query and body are the same request: a worker
-//! that fails on one will fail on the other.
+//! A caller gives each attempt a new identifier, so identifiers can't be compared. Attempts with
+//! the same tenant or credentials, method, host, path, query and body are the same request: a
+//! worker that fails on one will fail on the other.
 
 use std::fmt;
 use std::str::FromStr;
@@ -17,8 +17,8 @@
 /// fingerprint of a given other one, by chance or on purpose, so no secret seed is needed.
 const FINGERPRINT_BYTES: usize = 16;
 
-/// Identifies a request by a truncated SHA-256 hash that is equal at all nodes and for all attempts.
-/// Its text form is lower-case hexadecimal.
+/// Identifies a request by a truncated SHA-256 hash that is equal at all nodes and for all
+/// attempts. Its text form is lower-case hexadecimal.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestFingerprint(pub(super) [u8; FINGERPRINT_BYTES]);
 
--- a/crates/pinerill-forward/src/crash/ledger.rs
+++ b/crates/pinerill-forward/src/crash/ledger.rs
@@ -1,17 +1,17 @@
 //! Determines which requests crash the workers that run them. Pure: callers pass in the time.
 //!
-//! A crash of a worker ends all requests that ran there, of which one caused it. So one crash under a
-//! request proves nothing, and a second one happens by chance. A request is blocked after
-//! [`CRASHES_AT_ONE_POINT`] crashes, each of another incarnation of a worker, at about the same point
-//! of its answer; a request that got further in a later run did not cause the earlier crashes.
-//! [`CRASHES_ANYWHERE`] crashes block it wherever in the answer they happened. A completed run clears
-//! all crashes that are known by then.
+//! A crash of a worker ends all requests that ran there, of which one caused it. So one crash under
+//! a request proves nothing, and a second one happens by chance. A request is blocked after
+//! [`CRASHES_AT_ONE_POINT`] crashes, each of another incarnation of a worker, at about the same
+//! point of its answer; a request that got further in a later run did not cause the earlier
+//! crashes. [`CRASHES_ANYWHERE`] crashes block it wherever in the answer they happened. A completed
+//! run clears all crashes that are known by then.
 //!
 //! Blocking a harmless request denies its caller an answer until an operator clears it or
 //! [`CRASH_LIFE_MS`] have passed. Each further crash ends all requests at a worker, some ten calls,
-//! and costs the worker for seconds. Fewer than one harmless request in a thousand gets three crashes
-//! in a row without a completed run, even while one worker in five crashes every few seconds (a test
-//! checks this).
+//! and costs the worker for seconds. Fewer than one harmless request in a thousand gets three
+//! crashes in a row without a completed run, even while one worker in five crashes every few
+//! seconds (a test checks this).
 //!
 //! With three nodes and six workers, a request that crashes its workers and is sent 40 times runs
 //! 4 times; without a ledger it runs 80 times (one run each on real processes).
@@ -124,8 +124,8 @@
         times.max().unwrap_or(0)
     }
 
-    /// Sort key for eviction: requests with fewer counted crashes are evicted first, and among those
-    /// the one whose last crash is the oldest.
+    /// Sort key for eviction: requests with fewer counted crashes are evicted first, and among
+    /// those the one whose last crash is the oldest.
     fn eviction_key(&self) -> (usize, u64) {
         (self.counted().count(), self.last_ms())
     }
@@ -244,8 +244,8 @@
         cleared
     }
 
-    /// Returns up to `limit` reports that other nodes may lack: recent changes, and the crashes that
-    /// block requests. Successive calls rotate through all such reports.
+    /// Returns up to `limit` reports that other nodes may lack: recent changes, and the crashes
+    /// that block requests. Successive calls rotate through all such reports.
     pub fn reports_to_resend(&mut self, now_ms: u64, limit: usize) -> Vec<CrashReport> {
         let mut all = Vec::new();
         for (request, crashes) in &self.requests {
--- a/crates/pinerill-forward/src/crash/mod.rs
+++ b/crates/pinerill-forward/src/crash/mod.rs
@@ -3,15 +3,15 @@
 //! A call's own state ends with the call, and its caller may retry at any node. Therefore a request
 //! has an identity that is the same for all its attempts ([`RequestIdentity`]), and runs that ended
 //! because their worker crashed are separated from other broken runs ([`broken_runs`]). Each node
-//! keeps a ledger of the crashes under each request ([`ledger`]), and all nodes share its entries by
-//! broadcasting crash reports (`peers::crashes`). A request that is known to crash workers is
+//! keeps a ledger of the crashes under each request ([`ledger`]), and all nodes share its entries
+//! by broadcasting crash reports (`peers::crashes`). A request that is known to crash workers is
 //! refused before it is sent; an item of a job is withheld.
 //!
 //! Crash reports can be merged in any order. Each is sent at once to the nodes of the zone and
 //! through relays to the others, and again for some seconds, or for as long as it blocks a request.
 //! Lost, late or duplicated datagrams therefore change no verdict, and a node that restarts or was
-//! partitioned knows the blocked requests within a second. While no worker crashes, nothing is sent,
-//! and a request body is hashed only if its run ends early.
+//! partitioned knows the blocked requests within a second. While no worker crashes, nothing is
+//! sent, and a request body is hashed only if its run ends early.
 
 pub mod broken_runs;
 mod fingerprint;
--- a/crates/pinerill-forward/src/crash/operators.rs
+++ b/crates/pinerill-forward/src/crash/operators.rs
@@ -31,8 +31,8 @@
         .collect()
 }
 
-/// Clears all known crashes of a request, so that it may run again at all nodes. Answers 404 if none
-/// was known.
+/// Clears all known crashes of a request, so that it may run again at all nodes. Answers 404 if
+/// none was known.
 #[post("/<request>/clear")]
 fn clear(node: &State<Arc<Node>>, request: &str) -> Custom<String> {
     let Ok(request) = request.parse::<RequestFingerprint>() else {
--- a/crates/pinerill-forward/src/crash/run.rs
+++ b/crates/pinerill-forward/src/crash/run.rs
@@ -65,8 +65,8 @@
         self.node.record_answered(&self.request);
     }
 
-    /// Ends a run that broke off. Counts it as crashed at once if the worker restarted, and otherwise
-    /// probes the worker if `reason` may be due to a crash.
+    /// Ends a run that broke off. Counts it as crashed at once if the worker restarted, and
+    /// otherwise probes the worker if `reason` may be due to a crash.
     pub fn mark_broken(mut self, reason: &BreakReason) {
         self.is_open = false;
         self.node
--- a/crates/pinerill-forward/src/crash/tracker.rs
+++ b/crates/pinerill-forward/src/crash/tracker.rs
@@ -45,8 +45,8 @@
     /// refuses. An opened connection goes into the pool for the next request.
     pub(super) fn probe_worker(self: &Arc<Self>, worker: &Arc<WorkerEntry>, reason: &BreakReason) {
         let incarnation = WorkerIncarnation::of(worker);
-        // An unresponsive worker would not answer a connection either; the worker list shows whether
-        // it has ended.
+        // An unresponsive worker would not answer a connection either; the worker list shows
+        // whether it has ended.
         if reason.is_unresponsive() || !self.crashes.probing.lock().insert(incarnation) {
             return;
         }
--- a/crates/pinerill-forward/src/crash/verdicts.rs
+++ b/crates/pinerill-forward/src/crash/verdicts.rs
@@ -1,5 +1,5 @@
-//! A node's use of its crash ledger: checks requests before they are sent, and broadcasts changes to
-//! the other nodes.
+//! A node's use of its crash ledger: checks requests before they are sent, and broadcasts changes
+//! to the other nodes.
 
 use std::pin::pin;
 
@@ -11,8 +11,8 @@
 pub(crate) const MAX_REPORTS_PER_DATAGRAM: usize = 32;
 
 impl Node {
-    /// Returns whether a request is known to crash workers. Computes no fingerprint while the ledger
-    /// is empty.
+    /// Returns whether a request is known to crash workers. Computes no fingerprint while the
+    /// ledger is empty.
     pub(crate) fn is_blocked(&self, request: &RequestIdentity) -> bool {
         if self.crashes.ledger.lock().is_empty() {
             return false;
@@ -21,7 +21,8 @@
         self.crashes.ledger.lock().verdict(request) == Verdict::Blocked
     }
 
-    /// Waits until a request is known to crash workers, so that its caller need not wait any longer.
+    /// Waits until a request is known to crash workers, so that its caller need not wait any
+    /// longer.
     pub(crate) async fn wait_until_blocked(&self, request: &RequestIdentity) {
         loop {
             let mut notified = pin!(self.crashes.blocked.notified());
--- a/crates/pinerill-forward/src/peers/broadcast.rs
+++ b/crates/pinerill-forward/src/peers/broadcast.rs
@@ -20,10 +20,11 @@
 const SHORTEST_PAUSE: Duration = Duration::from_millis(6);
 /// Longest pause between two broadcasts.
 const LONGEST_PAUSE: Duration = Duration::from_millis(150);
-/// Pause between two broadcasts of a zone's counts by one relay, for each other zone. With two relays
-/// per zone, a node receives 80 such messages per second whatever the number of zones and nodes.
-/// Each costs a node some 26 us of processor time: with 200 per second, at 40 ms and five zones, all
-/// processes of 250 nodes used 241 s on a day of low load, against 160 s without these messages.
+/// Pause between two broadcasts of a zone's counts by one relay, for each other zone. With two
+/// relays per zone, a node receives 80 such messages per second whatever the number of zones and
+/// nodes. Each costs a node some 26 us of processor time: with 200 per second, at 40 ms and five
+/// zones, all processes of 250 nodes used 241 s on a day of low load, against 160 s without these
+/// messages.
 pub(super) const PAUSE_PER_ZONE: Duration = Duration::from_millis(25);
 /// Delay before a change is broadcast while calls wait here. One of them takes a free slot at once,
 /// and a peer that received the count in between would send a call to the same slot.
@@ -31,8 +32,8 @@
 /// Time after which counts are broadcast again without a change, since a datagram may have been
 /// lost.
 const REPEAT_PAUSE: Duration = Duration::from_millis(500);
-/// Time in addition to the broadcast pause for which a promised slot counts as occupied, so that the
-/// other node's broadcast of the call that it sent there arrives before.
+/// Time in addition to the broadcast pause for which a promised slot counts as occupied, so that
+/// the other node's broadcast of the call that it sent there arrives before.
 const PROMISE_MARGIN: Duration = Duration::from_millis(6);
 
 impl Peers {
@@ -65,8 +66,8 @@
     }
 }
 
-/// Broadcasts this node's requests in flight and its unmet demand to the zone, at each change and at
-/// least every [`REPEAT_PAUSE`] until it is idle.
+/// Broadcasts this node's requests in flight and its unmet demand to the zone, at each change and
+/// at least every [`REPEAT_PAUSE`] until it is idle.
 pub(crate) async fn broadcast_counts(node: Arc<Node>) {
     let mut idle_sent = false;
     let mut sequence = Sequence::new();
--- a/crates/pinerill-forward/src/peers/crashes.rs
+++ b/crates/pinerill-forward/src/peers/crashes.rs
@@ -1,8 +1,8 @@
 //! Sends reports of workers that crashed under requests to all nodes.
 //!
-//! Each report is sent at once to the nodes of the zone. Relays forward reports that are new to them
-//! to the relays of other zones, which broadcast them in theirs; bridge nodes forward them to other
-//! cells. In addition, each node regularly resends to a few others what they may have missed.
+//! Each report is sent at once to the nodes of the zone. Relays forward reports that are new to
+//! them to the relays of other zones, which broadcast them in theirs; bridge nodes forward them to
+//! other cells. In addition, each node regularly resends to a few others what they may have missed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,8 +16,8 @@
 use crate::crash::MAX_REPORTS_PER_DATAGRAM;
 use crate::node::Node;
 
-/// Pause between two resends. Six of them fit into the three seconds within which all nodes must have
-/// received a report.
+/// Pause between two resends. Six of them fit into the three seconds within which all nodes must
+/// have received a report.
 const RESEND_PAUSE: Duration = Duration::from_millis(500);
 /// Number of random nodes of the zone that get each resend. Every node receives resends from three
 /// others on average, whatever the size of the zone.
--- a/crates/pinerill-forward/src/peers/message.rs
+++ b/crates/pinerill-forward/src/peers/message.rs
@@ -30,8 +30,8 @@
         /// Unmet demand of each service.
         demand: Vec<ServiceDemand>,
     },
-    /// From a relay to a relay of another zone, which forwards it to the nodes of its zone: everything
-    /// that the nodes of the sender's zone have in flight.
+    /// From a relay to a relay of another zone, which forwards it to the nodes of its zone:
+    /// everything that the nodes of the sender's zone have in flight.
     ZoneInFlight {
         /// Position in the sequence of such messages from the relay, so that late ones are dropped.
         order: TellingOrder,
--- a/crates/pinerill-forward/src/peers/mod.rs
+++ b/crates/pinerill-forward/src/peers/mod.rs
@@ -1,15 +1,16 @@
 //! Exchange of load and demand between nodes by datagrams.
 //!
-//! A worker's load report comes with an answer, so it is old and many nodes have none; and it counts
-//! requests, not tokens. Therefore each node broadcasts to the nodes of its zone how many requests it
-//! has in flight at each worker and how many calls wait in its queue, whenever that changes, and each
-//! prompt with a long prefill.
+//! A worker's load report comes with an answer, so it is old and many nodes have none; and it
+//! counts requests, not tokens. Therefore each node broadcasts to the nodes of its zone how many
+//! requests it has in flight at each worker and how many calls wait in its queue, whenever that
+//! changes, and each prompt with a long prefill.
 //!
-//! Nodes of other zones are not sent this one by one: that traffic would grow with the square of the
-//! fleet, and traffic between zones is expensive. The leader appoints a few relays in each zone. Each
-//! relay sums up what its zone has in flight and sends it to one relay of each other zone, which
-//! forwards it to its own zone. The relays of a zone use different paths, so that a relay that
-//! crashes, freezes or is partitioned only slows the updates down until the leader appoints another.
+//! Nodes of other zones are not sent this one by one: that traffic would grow with the square of
+//! the fleet, and traffic between zones is expensive. The leader appoints a few relays in each
+//! zone. Each relay sums up what its zone has in flight and sends it to one relay of each other
+//! zone, which forwards it to its own zone. The relays of a zone use different paths, so that a
+//! relay that crashes, freezes or is partitioned only slows the updates down until the leader
+//! appoints another.
 //!
 //! | from | to | what | how often |
 //! |---|---|---|---|
@@ -25,8 +26,8 @@
 //! A lost datagram can cause a worse choice of a worker and nothing else.
 //!
 //! On a fleet of 250 nodes and 130 workers in five zones, with a sixth of the workers becoming
-//! unresponsive during the day, callers get 0.923 and 0.950 of the day's possible value in two runs,
-//! against 0.858 in one run without this exchange, the slots that are promised by
+//! unresponsive in the course of a run, callers get 0.923 and 0.950 of the possible value in two
+//! runs, against 0.858 in one run without this exchange, the slots that are promised by
 //! [`crate::dispatch::demand`] and the shorter connect timeouts.
 
 mod broadcast;
@@ -181,8 +182,8 @@
         &self.traffic
     }
 
-    /// Returns the relays to which this node sends the counts of its zone: of each other zone the one
-    /// with the same index, or the last one. `None` if this node is not a relay.
+    /// Returns the relays to which this node sends the counts of its zone: of each other zone the
+    /// one with the same index, or the last one. `None` if this node is not a relay.
     fn target_relays(&self) -> Option<Vec<SocketAddr>> {
         let addresses = self.addresses.read();
         let index = addresses.relay_index?;
--- a/crates/pinerill-forward/src/peers/receive.rs
+++ b/crates/pinerill-forward/src/peers/receive.rs
@@ -97,8 +97,8 @@
     }
 }
 
-/// Wakes the dispatcher if calls wait here, for which there may be a slot now, or at other nodes, for
-/// which items of this node can yield their slots.
+/// Wakes the dispatcher if calls wait here, for which there may be a slot now, or at other nodes,
+/// for which items of this node can yield their slots.
 fn wake_dispatcher(node: &Node) {
     if node.dispatcher.waiting() > 0 || node.dispatcher.peers_have_waiting_calls(node.now_ms()) {
         node.dispatcher.changed.notify_one();
--- a/crates/pinerill-forward/tests/cluster_client.rs
+++ b/crates/pinerill-forward/tests/cluster_client.rs
@@ -18,17 +18,17 @@
 
 const LONG: Duration = Duration::from_secs(20);
 
-/// Control machine that answers as the leader if `leader` is `None`, and otherwise refuses and names
-/// the leader. Counts its requests.
+/// Control machine that answers as the leader if `leader` is `None`, and otherwise refuses and
+/// names the leader. Counts its requests.
 struct Machine {
     leader: Option<SocketAddr>,
-    asked: Arc<AtomicU32>,
+    request_count: Arc<AtomicU32>,
 }
 
 #[async_trait]
 impl Service for Machine {
     async fn call(&self, _peer: &Peer, _request: Request) -> Response {
-        self.asked.fetch_add(1, Ordering::SeqCst);
+        self.request_count.fetch_add(1, Ordering::SeqCst);
         match self.leader {
             None => Response::Calls(encode(&CallsResponse::Done)),
             Some(_) => {
@@ -48,10 +48,10 @@
 async fn start(leader: Option<SocketAddr>) -> (SocketAddr, Arc<AtomicU32>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listen");
     let address = listener.local_addr().expect("an address");
-    let asked = Arc::new(AtomicU32::new(0));
+    let request_count = Arc::new(AtomicU32::new(0));
     let service = Arc::new(Machine {
         leader,
-        asked: asked.clone(),
+        request_count: request_count.clone(),
     });
     let counters = Arc::new(ServerCounters::default());
     let stop = CancellationToken::new();
@@ -62,7 +62,7 @@
         counters,
         stop,
     ));
-    (address, asked)
+    (address, request_count)
 }
 
 /// Starts a listener that accepts connections and never answers, as a partitioned machine does.
@@ -73,10 +73,10 @@
     let connected = Arc::new(AtomicU32::new(0));
     let counted = connected.clone();
     tokio::spawn(async move {
-        let mut held = Vec::new();
+        let mut streams = Vec::new();
         while let Ok((stream, _)) = listener.accept().await {
             counted.fetch_add(1, Ordering::SeqCst);
-            held.push(stream);
+            streams.push(stream);
         }
     });
     (address, connected)
@@ -114,20 +114,20 @@
 #[tokio::test]
 async fn an_unresponsive_machine_is_skipped_by_the_next_requests() {
     let (unresponsive, connected) = start_unresponsive().await;
-    let (leader, asked) = start(None).await;
+    let (leader, request_count) = start(None).await;
     let client = ClusterClient::new(identity(Role::Node), &[unresponsive, leader]);
     let request = CallsRequest::EndJob(CallJobId::new(None, "j"));
     for _ in 0..5 {
         let answer = client.call(&request, LONG, Duration::ZERO).await;
         assert!(answer.is_ok());
     }
-    assert_eq!(asked.load(Ordering::SeqCst), 5);
+    assert_eq!(request_count.load(Ordering::SeqCst), 5);
     assert!(connected.load(Ordering::SeqCst) <= 1);
 }
 
 #[tokio::test]
 async fn a_redirect_to_the_leader_is_followed_and_remembered() {
-    let (leader, asked) = start(None).await;
+    let (leader, request_count) = start(None).await;
     let (follower, refused) = start(Some(leader)).await;
     let client = ClusterClient::new(identity(Role::Node), &[follower]);
     let request = CallsRequest::EndJob(CallJobId::new(None, "j"));
@@ -135,7 +135,7 @@
         let answer = client.call(&request, LONG, Duration::ZERO).await;
         assert!(answer.is_ok());
     }
-    assert_eq!(asked.load(Ordering::SeqCst), 3);
+    assert_eq!(request_count.load(Ordering::SeqCst), 3);
     assert_eq!(
         refused.load(Ordering::SeqCst),
         1,
@@ -155,11 +155,11 @@
     assert!(connected.load(Ordering::SeqCst) <= 1);
 }
 
-/// Guards against sending such requests to machines outside the group: with nine group members among
-/// 45 machines, four of five near machines could only refuse.
+/// Guards against sending such requests to machines outside the group: with nine group members
+/// among 45 machines, four of five near machines could only refuse.
 #[tokio::test]
 async fn requests_for_any_member_go_to_a_near_member() {
-    let (leader, asked) = start(None).await;
+    let (leader, request_count) = start(None).await;
     let (outsider, refused) = start(Some(leader)).await;
     let (member, answered) = start(None).await;
     let client = ClusterClient::new(identity(Role::Node), &[leader]);
@@ -171,6 +171,6 @@
     let request = CallsRequest::EndJob(CallJobId::new(None, "j"));
     let answer = client.call_near(&request, LONG, Duration::ZERO).await;
     assert!(answer.is_ok());
-    let counts = [&refused, &answered, &asked].map(|count| count.load(Ordering::SeqCst));
+    let counts = [&refused, &answered, &request_count].map(|count| count.load(Ordering::SeqCst));
     assert_eq!(counts, [0, 1, 0]);
 }
--- a/crates/pinerill-forward/tests/crash_ledger.rs
+++ b/crates/pinerill-forward/tests/crash_ledger.rs
@@ -1,5 +1,5 @@
-//! Tests which crashes block a request, that nodes with the same reports last_event the same verdicts, and
-//! that few harmless requests are blocked by chance.
+//! Tests which crashes block a request, that nodes with the same reports last_event the same
+//! verdicts, and that few harmless requests are blocked by chance.
 
 mod support;
 
--- a/crates/pinerill-forward/tests/crash_news.rs
+++ b/crates/pinerill-forward/tests/crash_news.rs
@@ -1,7 +1,7 @@
 //! Simulates nodes that exchange crash reports while datagrams are lost, late, duplicated and
-//! reordered, zones are partitioned and nodes restart with an empty ledger. A request that crashes its
-//! workers may run only a few more times once nodes that can reach each other had time to exchange
-//! their reports.
+//! reordered, zones are partitioned and nodes restart with an empty ledger. A request that crashes
+//! its workers may run only a few more times once nodes that can reach each other had time to
+//! exchange their reports.
 
 mod support;
 
@@ -38,8 +38,8 @@
     RequestFingerprint::of_parts(&[b"guilty"])
 }
 
-fn worker(incarnation: usize) -> WorkerIncarnation {
-    WorkerIncarnation::of(&entry(WorkerId::new(&format!("start-{incarnation}"), None)))
+fn worker(start: usize) -> WorkerIncarnation {
+    WorkerIncarnation::of(&entry(WorkerId::new(&format!("start-{start}"), None)))
 }
 
 struct SimulatedNode {
@@ -233,8 +233,8 @@
         }
     }
 
-    /// Returns the number of runs at undisturbed nodes after the time within which the blocking crash
-    /// must be known.
+    /// Returns the number of runs at undisturbed nodes after the time within which the blocking
+    /// crash must be known.
     fn later_runs(&self) -> usize {
         let Some((blocked_ms, _)) = self.runs.get(CRASHES_AT_ONE_POINT - 1) else {
             return 0;
--- a/crates/pinerill-forward/tests/crash_price.rs
+++ b/crates/pinerill-forward/tests/crash_price.rs
@@ -1,7 +1,7 @@
-//! Bounds the cost of crash detection per request. In a release build, hashing a body of 18 KB takes
-//! some 13 us, and a lookup in the ledger less than 1 us. While the ledger is empty, only the bodies
-//! of runs that end early are hashed; without crash detection none would be. The bounds here allow for a build without optimization on a
-//! busy machine.
+//! Bounds the cost of crash detection per request. In a release build, hashing a body of 18 KB
+//! takes some 13 us, and a lookup in the ledger less than 1 us. While the ledger is empty, only the
+//! bodies of runs that end early are hashed; without crash detection none would be. The bounds here
+//! allow for a build without optimization on a busy machine.
 
 use std::time::{Duration, Instant};
 
--- a/crates/pinerill-forward/tests/list_pace.rs
+++ b/crates/pinerill-forward/tests/list_pace.rs
@@ -31,8 +31,8 @@
     }
 }
 
-/// Guards against overload by nodes that have had no answer from a leader, so that they don't know how
-/// many others read the list.
+/// Guards against overload by nodes that have had no answer from a leader, so that they don't know
+/// how many others read the list.
 #[test]
 fn nodes_that_know_of_no_others_back_off_when_reads_fail() {
     let pause = reading_pause(0, 1, CALLS_PER_S, 0.5);
