--- a/crates/pinerill-forward/src/cluster/client.rs
+++ b/crates/pinerill-forward/src/cluster/client.rs
@@ -33,7 +33,7 @@
 /// keeps further requests from waiting for a machine that a request has just timed out on.
 const AVOID_TIME: Duration = Duration::from_millis(700);
 
-/// Connection to one address; the lock is current while it is being opened.
+/// Connection to one address; the lock is held while it is being opened.
 type SharedConnection = Arc<AsyncMutex<Option<Connection>>>;
 
 /// Failure of a request at all machines that it was sent to.
--- a/crates/pinerill-forward/tests/crash_ledger.rs
+++ b/crates/pinerill-forward/tests/crash_ledger.rs
@@ -1,4 +1,4 @@
-//! Tests which crashes block a request, that nodes with the same reports last_event the same
+//! Tests which crashes block a request, that nodes with the same reports reach the same
 //! verdicts, and that few harmless requests are blocked by chance.
 
 mod support;
@@ -230,8 +230,8 @@
 }
 
 /// Guards against blocking harmless requests by chance. One worker in five crashes every three
-/// seconds, runs take 0.4 s, and a request gets four runs: its caller sends it twice,
-/// and each time it runs up to two times.
+/// seconds, runs take 0.4 s, and a request gets four runs: its caller sends it twice, and each time
+/// it runs up to two times.
 #[test]
 fn fewer_than_one_harmless_request_in_a_thousand_is_refused_during_frequent_crashes() {
     let (requests, days) = (5_000, 20);
