--- a/crates/pinerill-forward/src/batch/item.rs
+++ b/crates/pinerill-forward/src/batch/item.rs
@@ -174,13 +174,13 @@
                 NotRunReason::Full => node.worker_full(&chosen),
                 NotRunReason::OtherWorker => node.worker_replaced(&chosen),
             }
-            run.not_begun();
+            run.mark_not_started();
             drain(node, sent).await;
             sleep(SLOT_RETRY_INTERVAL).await;
             None
         }
         Verdict::Impossible => {
-            run.answered();
+            run.mark_answered();
             drain(node, sent).await;
             Some(ItemOutcome::Impossible)
         }
@@ -195,21 +195,21 @@
                 }
                 Ok(ReadEnd::LeaseUnconfirmed) => None,
                 Ok(ReadEnd::Complete) => {
-                    run.answered();
+                    run.mark_answered();
                     let text = std::mem::take(&mut running.text).into_bytes();
                     let kept = compress(&text);
                     running.bytes = (text.len(), kept.len());
                     Some(ItemOutcome::Completed(kept))
                 }
                 Err(reason) => {
-                    run.broke(&reason);
+                    run.mark_broken(&reason);
                     record_broken_attempt(node, running, &chosen, &reason);
                     None
                 }
             }
         }
         Verdict::Failed | Verdict::Accepted | Verdict::Other => {
-            run.answered();
+            run.mark_answered();
             drain(node, sent).await;
             Some(ItemOutcome::Failed {
                 run: rand::random(),
@@ -289,13 +289,13 @@
         Ok(Ok(sent)) => sent,
         Ok(Err(failure)) => {
             match failure.sent {
-                true => run.broke(&failure.reason),
-                false => run.not_begun(),
+                true => run.mark_broken(&failure.reason),
+                false => run.mark_not_started(),
             }
             return Err(failure.reason);
         }
         Err(_) => {
-            run.broke(&BreakReason::Silent);
+            run.mark_broken(&BreakReason::Silent);
             return Err(BreakReason::Silent);
         }
     };
@@ -345,8 +345,8 @@
         let batch = scanner.push(&piece).map_err(|_| BreakReason::EventOrder)?;
         if batch.count > 0 {
             running.text.append(&batch.bytes);
-            running.last_event = scanner.last();
-            worker_run.reached(running.last_event);
+            running.last_event = scanner.last_event();
+            worker_run.record_event(running.last_event);
             if let Some(interrupted_at) = running.interrupted_at.take() {
                 node.runs.record_interruption(interrupted_at.elapsed());
             }
--- a/crates/pinerill-forward/src/cluster/mod.rs
+++ b/crates/pinerill-forward/src/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! The node's side towards control machines: calls, the route table and the
-//! directory.
+//! Communication of a node with the control machines: requests, and the watch that receives the
+//! route table, the worker directory and the addresses of other processes.
 
 mod client;
 pub mod list_pace;
@@ -8,4 +8,4 @@
 
 pub use client::{Answered, CallFailure, ClusterClient};
 pub use older_leader::OlderLeader;
-pub(crate) use watch::follow;
+pub(crate) use watch::follow_leader;
--- /dev/null
+++ b/crates/pinerill-forward/src/crash/tracker.rs
@@ -0,0 +1,111 @@
+//! Looks for evidence that workers crashed, and reports the runs that a crash ended.
+//!
+//! Runs of requests record here when they end early; the watch and the connections to workers
+//! supply evidence.
+
+use std::collections::HashSet;
+use std::sync::Arc;
+
+use parking_lot::Mutex;
+use pinerill_calls::directory::{WorkerEntry, WorkerState};
+use tokio::sync::Notify;
+
+use super::broken_runs::{BrokenRun, BrokenRuns, CrashEvidence};
+use super::ledger::{CrashLedger, CrashReport};
+use super::WorkerIncarnation;
+use crate::exchange::BreakReason;
+use crate::node::Node;
+
+/// Limit on the requests listed in one log line.
+const REQUESTS_LOGGED: usize = 16;
+
+/// A node's state about crashes of workers.
+#[derive(Default)]
+pub(crate) struct CrashTracker {
+    broken: Mutex<BrokenRuns>,
+    /// Workers that are being probed with a new connection.
+    probing: Mutex<HashSet<WorkerIncarnation>>,
+    /// Known crashes by request, also from other nodes.
+    pub(super) ledger: Mutex<CrashLedger>,
+    /// Wakes tasks that wait for a request to be blocked, whenever a verdict changes.
+    pub(super) blocked: Notify,
+}
+
+impl Node {
+    /// Records a run that ended before its answer was complete.
+    pub(super) fn record_early_end(&self, worker: WorkerIncarnation, run: BrokenRun) {
+        let now_ms = self.now_ms();
+        let is_crash = self.crashes.broken.lock().record(now_ms, worker, run);
+        if is_crash {
+            self.report_crashed_runs(worker, &[run]);
+        }
+    }
+
+    /// Probes a worker at which a run broke off with a new connection, which a crashed process
+    /// refuses. An opened connection goes into the pool for the next request.
+    pub(super) fn probe_worker(self: &Arc<Self>, worker: &Arc<WorkerEntry>, reason: &BreakReason) {
+        let incarnation = WorkerIncarnation::of(worker);
+        // An unresponsive worker would not answer a connection either; the worker list shows
+        // whether it has ended.
+        if reason.is_unresponsive() || !self.crashes.probing.lock().insert(incarnation) {
+            return;
+        }
+        let (node, worker) = (self.clone(), worker.clone());
+        tokio::spawn(async move {
+            match node.connections().open(&worker).await {
+                Ok(connection) => {
+                    node.crashes.broken.lock().mark_alive(incarnation);
+                    node.connections().put(&worker.id, connection, None);
+                }
+                Err(BreakReason::Refused) => node.record_crash(&worker, CrashEvidence::Refused),
+                // The worker may be partitioned; the worker list shows whether it has ended.
+                Err(_) => {}
+            }
+            node.crashes.probing.lock().remove(&incarnation);
+        });
+    }
+
+    /// Handles evidence that a worker's process has ended: reports the runs that ended with it.
+    /// Ignores draining workers, which end without a crash.
+    pub(crate) fn record_crash(&self, worker: &WorkerEntry, evidence: CrashEvidence) {
+        if worker.state == WorkerState::Draining {
+            return;
+        }
+        let incarnation = WorkerIncarnation::of(worker);
+        let now_ms = self.now_ms();
+        let runs = self
+            .crashes
+            .broken
+            .lock()
+            .take_crashed(now_ms, incarnation, evidence);
+        if runs.is_empty() {
+            return;
+        }
+        self.metrics.worker_crashed(evidence.label());
+        let requests: Vec<String> = runs
+            .iter()
+            .take(REQUESTS_LOGGED)
+            .map(|run| format!("{} after event {}", run.request, run.last_event))
+            .collect();
+        log::warn!(
+            event = "worker_crashed", worker = worker.id.as_str(), evidence = evidence.label(),
+            runs = runs.len(), requests:? = requests; ""
+        );
+        self.report_crashed_runs(incarnation, &runs);
+    }
+
+    /// Adds runs that ended with a crash of their worker to the ledger and broadcasts the reports.
+    pub(super) fn report_crashed_runs(&self, worker: WorkerIncarnation, runs: &[BrokenRun]) {
+        self.metrics.runs_crashed.inc_by(runs.len() as u64);
+        let reports = runs.iter().map(|run| CrashReport {
+            request: run.request,
+            worker,
+            last_event: run.last_event,
+            is_cleared: false,
+            age_ms: 0,
+        });
+        let reports: Vec<CrashReport> = reports.collect();
+        let changed = self.merge_crash_reports(&reports);
+        self.peers.broadcast_crashes(&changed);
+    }
+}
--- a/crates/pinerill-forward/src/node.rs
+++ b/crates/pinerill-forward/src/node.rs
@@ -20,7 +20,7 @@
 use crate::cluster::ClusterClient;
 use crate::confirmation::HealthChecks;
 use crate::crash::broken_runs::CrashEvidence;
-use crate::crash::CrashDesk;
+use crate::crash::CrashTracker;
 use crate::dispatch::Dispatcher;
 use crate::exchange::{BreakReason, ConnectionPool};
 use crate::fleet::{BatchCapacity, ChosenWorker, Fleet, PlacementRequest, Prompt, SlowStartPermit};
@@ -62,7 +62,7 @@
     connections: Arc<ConnectionPool>,
     pub(crate) dispatcher: Dispatcher,
     pub(crate) runs: Arc<ItemRuns>,
-    pub(crate) crashes: CrashDesk,
+    pub(crate) crashes: CrashTracker,
     pub(crate) health_checks: HealthChecks,
     pub(crate) waking: ResumeGate,
     pub(crate) quota: NodeQuota,
@@ -104,7 +104,7 @@
             connections: Arc::default(),
             dispatcher: Dispatcher::default(),
             runs: Arc::default(),
-            crashes: CrashDesk::default(),
+            crashes: CrashTracker::default(),
             health_checks: HealthChecks::default(),
             waking: ResumeGate::default(),
             quota: NodeQuota::default(),
@@ -262,8 +262,8 @@
             fleet.remember_prompt(now_ms, &worker, prompt);
             fleet.begin_request(now_ms, &worker, chosen.prefill_ms)
         });
-        self.peers.tell_prompt(&worker, chosen.prefill_ms);
-        self.peers.changed();
+        self.peers.broadcast_prompt(&worker, chosen.prefill_ms);
+        self.peers.notify_changed();
         OccupiedSlot {
             node: self.clone(),
             worker,
@@ -288,10 +288,10 @@
             self.with_fleet(|fleet, _| fleet.mark_not_listening(worker));
         }
         if reason.is_unresponsive() {
-            self.peers.tell_no_answer(worker);
+            self.peers.broadcast_no_answer(worker);
         }
         if reason.is_disconnect() {
-            self.peers.tell_broke(worker);
+            self.peers.broadcast_connection_loss(worker);
         }
         self.with_fleet(|fleet, now_ms| fleet.record_failure(now_ms, worker));
     }
@@ -306,7 +306,7 @@
     fn worker_is_gone(&self, worker: &str, evidence: CrashEvidence) {
         let entry = self.with_fleet(|fleet, _| Some(fleet.worker(worker)?.entry().clone()));
         if let Some(entry) = entry {
-            self.worker_crashed(&entry, evidence);
+            self.record_crash(&entry, evidence);
         }
     }
 
@@ -352,7 +352,7 @@
             || dispatcher.promise_freed_slot(&self.node, &self.worker);
         if !is_taken {
             self.node.dispatcher.changed.notify_one();
-            self.node.peers.changed();
+            self.node.peers.notify_changed();
         }
     }
 }
