--- a/crates/pinerill-forward/src/batch/item.rs
+++ b/crates/pinerill-forward/src/batch/item.rs
@@ -345,7 +345,7 @@
         let batch = scanner.push(&piece).map_err(|_| BreakReason::EventOrder)?;
         if batch.count > 0 {
             running.text.append(&batch.bytes);
-            running.last_event = scanner.last_event();
+            running.last_event = scanner.last();
             worker_run.record_event(running.last_event);
             if let Some(interrupted_at) = running.interrupted_at.take() {
                 node.runs.record_interruption(interrupted_at.elapsed());
--- a/crates/pinerill-forward/src/cluster/watch.rs
+++ b/crates/pinerill-forward/src/cluster/watch.rs
@@ -56,7 +56,11 @@
     let mut state = WatchState::default();
     let mut reachability = Reachability::default();
     loop {
-        if node.known_state.needs_full_update.swap(false, Ordering::Relaxed) {
+        if node
+            .known_state
+            .needs_full_update
+            .swap(false, Ordering::Relaxed)
+        {
             state = WatchState {
                 cell: state.cell,
                 ..WatchState::default()
@@ -375,7 +379,10 @@
                 sleep(first_undated_pause(nodes, pages, rate, rand::random())).await;
             }
         }
-        let last_answer_ms = node.known_state.last_control_answer_ms.load(Ordering::Relaxed);
+        let last_answer_ms = node
+            .known_state
+            .last_control_answer_ms
+            .load(Ordering::Relaxed);
         let silent_ms = node.now_ms().saturating_sub(last_answer_ms);
         // Without a route table no call can be sent, so the node does not need workers yet. When
         // all processes have just started, this leaves the list to the leader.
@@ -396,7 +403,9 @@
                     );
                 }
                 apply_listing(&node, started, reading);
-                node.known_state.needs_full_update.store(true, Ordering::Relaxed);
+                node.known_state
+                    .needs_full_update
+                    .store(true, Ordering::Relaxed);
             }
             Err(error) => {
                 failures += 1;
--- a/crates/pinerill-forward/src/peers/broadcast.rs
+++ b/crates/pinerill-forward/src/peers/broadcast.rs
@@ -8,7 +8,7 @@
 
 use super::message::{PeerMessage, MAX_COUNTS_PER_DATAGRAM};
 use super::Peers;
-use crate::fleet::{TellingOrder, WorkerCount};
+use crate::fleet::{ReportOrder, WorkerCount};
 use crate::node::Node;
 
 /// Pause between two broadcasts for each other node of the zone. It grows with the zone, since each
@@ -50,17 +50,17 @@
 }
 
 /// Numbers the messages of one broadcast task, so that receivers can drop late ones.
-struct Sequence(TellingOrder);
+struct Sequence(ReportOrder);
 
 impl Sequence {
     fn new() -> Self {
-        Sequence(TellingOrder {
+        Sequence(ReportOrder {
             start: rand::random(),
             sequence: 0,
         })
     }
 
-    fn next(&mut self) -> TellingOrder {
+    fn next(&mut self) -> ReportOrder {
         self.0.sequence += 1;
         self.0
     }
@@ -122,7 +122,7 @@
         .await
         .is_ok()
     {
-        if node.with_fleet(|fleet, now_ms| fleet.zone_has_little_room(now_ms)) {
+        if node.with_fleet(|fleet, now_ms| fleet.needs_immediate_zone_reports(now_ms)) {
             return;
         }
     }
--- a/crates/pinerill-forward/src/run.rs
+++ b/crates/pinerill-forward/src/run.rs
@@ -174,7 +174,9 @@
                 let seeds = seeds.unwrap_or_default();
                 log::info!(event = "settings_reloaded", seeds:? = seeds; "");
                 node.cluster.update_addresses(seeds);
-                node.known_state.needs_full_update.store(true, Ordering::Relaxed);
+                node.known_state
+                    .needs_full_update
+                    .store(true, Ordering::Relaxed);
             }
             Err(error) => log::warn!(event = "settings_refused", error:%; ""),
         }
