--- a/crates/pinerill-node/src/dispatcher.rs
+++ b/crates/pinerill-node/src/dispatcher.rs
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 
 use self::choosing::{can_go_on, Choice};
-pub use self::place::{PendingPrefill, Place};
+pub use self::place::{PendingPrefill, SlotGuard};
 use crate::clock;
 use crate::configuration::ServicePlan;
 use crate::membership::{Fleet, FleetView, Served};
@@ -23,7 +23,7 @@
 
 /// What a request needs of an engine.
 #[derive(Debug)]
-pub struct Demand {
+pub struct SlotRequest {
     /// Its service.
     pub plan: Arc<ServicePlan>,
     /// Whose request it is.
@@ -35,12 +35,12 @@
     /// Engines that failed it before.
     pub excluded: Vec<EngineId>,
     /// The version that began its answer, which no other one can go on with.
-    pub begun_with: Option<Served>,
+    pub required_version: Option<Served>,
 }
 
 /// Why there is no place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoPlace {
+pub enum SlotUnavailable {
     /// No engine serves the service.
     NoBackend,
     /// The wait would be, or was, longer than the service allows; come back
@@ -49,8 +49,8 @@
 }
 
 struct Waiter {
-    demand: Demand,
-    reply: oneshot::Sender<Result<Place, NoPlace>>,
+    demand: SlotRequest,
+    reply: oneshot::Sender<Result<SlotGuard, SlotUnavailable>>,
 }
 
 #[derive(Default)]
@@ -81,12 +81,12 @@
     /// A place now, or after a wait of at most `patience`.
     ///
     /// # Errors
-    /// [`NoPlace`].
+    /// [`SlotUnavailable`].
     pub async fn acquire(
         self: &Arc<Self>,
-        demand: Demand,
+        demand: SlotRequest,
         patience: Duration,
-    ) -> Result<Place, NoPlace> {
+    ) -> Result<SlotGuard, SlotUnavailable> {
         let service = demand.plan.name.clone();
         let tenant = demand.tenant.clone();
         let ticket = self.next_ticket.fetch_add(1, Ordering::Relaxed);
@@ -104,20 +104,23 @@
         drop(waiting);
         match answer {
             Ok(Ok(answer)) => answer,
-            _ => Err(NoPlace::Overloaded(patience.as_millis() as u64)),
+            _ => Err(SlotUnavailable::Overloaded(patience.as_millis() as u64)),
         }
     }
 
     #[allow(clippy::type_complexity)]
     fn place_or_wait(
         self: &Arc<Self>,
-        demand: Demand,
+        demand: SlotRequest,
         ticket: Ticket,
         patience: Duration,
-    ) -> Result<Result<Place, oneshot::Receiver<Result<Place, NoPlace>>>, NoPlace> {
+    ) -> Result<
+        Result<SlotGuard, oneshot::Receiver<Result<SlotGuard, SlotUnavailable>>>,
+        SlotUnavailable,
+    > {
         let view = self.fleet.view();
         if !has_backend(&view, &demand) {
-            return Err(NoPlace::NoBackend);
+            return Err(SlotUnavailable::NoBackend);
         }
         let mut queues = self.queues.lock();
         let service = queues.entry(demand.plan.name.clone()).or_default();
@@ -132,7 +135,7 @@
             .queue
             .enqueue(&demand.tenant, ticket, limit, patience_ms);
         let displaced = match enqueued {
-            Enqueued::Refused(wait) => return Err(NoPlace::Overloaded(wait)),
+            Enqueued::Refused(wait) => return Err(SlotUnavailable::Overloaded(wait)),
             Enqueued::Displaced(other) => service.waiters.remove(&other),
             Enqueued::Waits => None,
         };
@@ -143,7 +146,9 @@
         self.fleet.online_arrived.notify_one();
         if let Some(waiter) = displaced {
             self.metrics.queued.dec();
-            let _ = waiter.reply.send(Err(NoPlace::Overloaded(patience_ms)));
+            let _ = waiter
+                .reply
+                .send(Err(SlotUnavailable::Overloaded(patience_ms)));
         }
         Ok(Err(receiver))
     }
@@ -205,7 +210,7 @@
     }
 }
 
-fn has_backend(view: &FleetView, demand: &Demand) -> bool {
+fn has_backend(view: &FleetView, demand: &SlotRequest) -> bool {
     let engines = view.services.get(&demand.plan.name);
     engines.is_some_and(|engines| {
         let mut decode = engines.decode.iter();
--- a/crates/pinerill-node/src/dispatcher/choosing.rs
+++ b/crates/pinerill-node/src/dispatcher/choosing.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-use super::{Demand, Dispatcher};
+use super::{Dispatcher, SlotRequest};
 use crate::clock;
 use crate::membership::{Engine, FleetView, ServiceEngines};
 use crate::routing::{choose, Candidate, Choices, RANDOM_NUMBERS};
@@ -20,7 +20,7 @@
 }
 
 impl Dispatcher {
-    pub(super) fn choose_engine(&self, view: &FleetView, demand: &Demand) -> Option<Choice> {
+    pub(super) fn choose_engine(&self, view: &FleetView, demand: &SlotRequest) -> Option<Choice> {
         let engines = view.services.get(&demand.plan.name)?;
         let (cached_tokens, hinted) = self.hinted(engines, demand);
         let active = active(engines);
@@ -58,7 +58,7 @@
 
     /// Length of the longest prefix that engines seem to have cached, in
     /// tokens, and these engines.
-    fn hinted(&self, engines: &ServiceEngines, demand: &Demand) -> (u32, Vec<usize>) {
+    fn hinted(&self, engines: &ServiceEngines, demand: &SlotRequest) -> (u32, Vec<usize>) {
         if demand.blocks.is_empty() {
             return (0, Vec::new());
         }
@@ -82,7 +82,7 @@
 }
 
 /// Whether an engine has the version that began an answer, if one did.
-pub(super) fn can_go_on(engine: &Engine, demand: &Demand) -> bool {
-    let begun = demand.begun_with.as_ref();
+pub(super) fn can_go_on(engine: &Engine, demand: &SlotRequest) -> bool {
+    let begun = demand.required_version.as_ref();
     begun.is_none_or(|begun| engine.serves(&demand.plan).as_ref() == Some(begun))
 }
--- a/crates/pinerill-node/src/dispatcher/place.rs
+++ b/crates/pinerill-node/src/dispatcher/place.rs
@@ -8,7 +8,7 @@
 use crate::membership::Engine;
 
 /// A place of one request at an engine; given back when dropped.
-pub struct Place {
+pub struct SlotGuard {
     /// The engine.
     pub engine: Arc<Engine>,
     /// What it has still to prefill for the request.
@@ -16,7 +16,7 @@
     dispatcher: Arc<Dispatcher>,
 }
 
-impl Drop for Place {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         self.engine.online.fetch_sub(1, Ordering::Relaxed);
         self.dispatcher.pump();
@@ -44,7 +44,7 @@
 }
 
 impl Dispatcher {
-    pub(super) fn take_place(self: &Arc<Self>, choice: Choice) -> Place {
+    pub(super) fn take_place(self: &Arc<Self>, choice: Choice) -> SlotGuard {
         let engine = choice.engine;
         engine.online.fetch_add(1, Ordering::Relaxed);
         engine.sign_online();
@@ -52,7 +52,7 @@
             self.fleet.online_arrived.notify_one();
         }
         let pending_prefill = PendingPrefill::new(engine.clone(), choice.uncached_tokens);
-        Place {
+        SlotGuard {
             engine,
             pending_prefill: Some(pending_prefill),
             dispatcher: self.clone(),
--- a/crates/pinerill-node/src/membership/engine.rs
+++ b/crates/pinerill-node/src/membership/engine.rs
@@ -137,7 +137,7 @@
     pub(super) fn take_load_header(&self, now_ms: u64, header: &LoadHeader) -> bool {
         self.worker.answers.fetch_add(1, Ordering::Relaxed);
         let own = self.online.load(Ordering::Relaxed);
-        let more = self.load.lock().header(now_ms, header, own);
+        let more = self.load.lock().apply_header(now_ms, header, own);
         if more {
             self.sign_online();
         }
@@ -164,7 +164,7 @@
         metrics: &Metrics,
     ) -> ReportNews {
         let own = self.online.load(Ordering::Relaxed);
-        let news = self.load.lock().report(now_ms, report, own);
+        let news = self.load.lock().apply_report(now_ms, report, own);
         metrics.preemptions.inc_by(news.preemptions);
         self.preemptions
             .fetch_add(news.preemptions, Ordering::Relaxed);
--- a/crates/pinerill-node/src/online/execution.rs
+++ b/crates/pinerill-node/src/online/execution.rs
@@ -23,7 +23,7 @@
 use crate::engine::Finish;
 use crate::membership::{Fleet, Served};
 use crate::metrics::Metrics;
-use crate::routing::block_names;
+use crate::routing::block_hashes;
 pub(super) use failure::AttemptFailure;
 use failure::{final_failure, AttemptStop, Stop};
 
@@ -119,7 +119,7 @@
 impl Execution {
     fn new(context: Arc<ExecutionContext>, request: OnlineRequest, delivery: Delivery) -> Self {
         let plan = &request.plan;
-        let blocks = block_names(&plan.model, plan.adapter.as_deref(), &request.parsed.prompt);
+        let blocks = block_hashes(&plan.model, plan.adapter.as_deref(), &request.parsed.prompt);
         Self {
             context,
             request,
--- a/crates/pinerill-node/src/online/execution/attempt.rs
+++ b/crates/pinerill-node/src/online/execution/attempt.rs
@@ -8,7 +8,7 @@
 
 use super::failure::{refusal_code, AttemptStop, Interrupt};
 use super::Execution;
-use crate::dispatcher::Place;
+use crate::dispatcher::SlotGuard;
 use crate::engine::{CancelAnswer, EngineCall, Finish, Priority, Refusal, SendError, SendOutcome};
 use crate::failure::FailureCode;
 use crate::membership::{Engine, Served};
@@ -21,7 +21,7 @@
 const CANCEL_DETACHED: Duration = Duration::from_secs(2);
 
 impl Execution {
-    pub(super) async fn attempt(&mut self, place: &Place) -> Result<Finish, AttemptStop> {
+    pub(super) async fn attempt(&mut self, place: &SlotGuard) -> Result<Finish, AttemptStop> {
         let engine = place.engine.clone();
         let Some(served) = engine.serves(&self.request.plan) else {
             let message = "it no longer holds the model".to_owned();
--- a/crates/pinerill-node/src/online/execution/placing.rs
+++ b/crates/pinerill-node/src/online/execution/placing.rs
@@ -7,21 +7,21 @@
 
 use super::failure::{Stop, RETRY_AFTER_DEFAULT_MS};
 use super::Execution;
-use crate::dispatcher::{Demand, NoPlace, Place};
+use crate::dispatcher::{SlotGuard, SlotRequest, SlotUnavailable};
 use crate::failure::{FailureCode, RequestFailure};
 
 /// Bytes of a prompt that count as one token.
 const PROMPT_BYTES_PER_TOKEN: usize = 4;
 
 impl Execution {
-    pub(super) async fn acquire(&self) -> Result<Place, Stop> {
-        let demand = Demand {
+    pub(super) async fn acquire(&self) -> Result<SlotGuard, Stop> {
+        let demand = SlotRequest {
             plan: self.request.plan.clone(),
             tenant: self.request.tenant.clone(),
             prompt_tokens: (self.request.parsed.prompt.len() / PROMPT_BYTES_PER_TOKEN) as u32,
             blocks: self.blocks.clone(),
             excluded: self.tried.clone(),
-            begun_with: self.begun_with.clone(),
+            required_version: self.begun_with.clone(),
         };
         let left = self.request.deadline.remaining();
         let patience = Duration::from_millis(self.request.plan.settings.queue_ms).min(left);
@@ -32,7 +32,7 @@
         acquired.map_err(|no_place| Stop::Failed(self.no_place(no_place)))
     }
 
-    fn no_place(&self, no_place: NoPlace) -> RequestFailure {
+    fn no_place(&self, no_place: SlotUnavailable) -> RequestFailure {
         let expired = BootTime::now() >= self.request.deadline;
         let (code, message, after) = match no_place {
             _ if expired => (
@@ -40,12 +40,12 @@
                 "the deadline passed before there was a place",
                 RETRY_AFTER_DEFAULT_MS,
             ),
-            NoPlace::NoBackend => (
+            SlotUnavailable::NoBackend => (
                 FailureCode::NoBackend,
                 "no engine serves this service here",
                 RETRY_AFTER_DEFAULT_MS,
             ),
-            NoPlace::Overloaded(after) => (
+            SlotUnavailable::Overloaded(after) => (
                 FailureCode::Overloaded,
                 "it would wait for a place longer than the service allows",
                 after,
--- a/crates/pinerill-node/src/routing/load.rs
+++ b/crates/pinerill-node/src/routing/load.rs
@@ -21,7 +21,7 @@
 
 /// What a report told anew.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LoadNews {
+pub struct LoadChange {
     /// Other nodes have more online requests there than before.
     pub more_online: bool,
     /// Preemptions since the report before.
@@ -42,16 +42,21 @@
 
 impl LoadEstimate {
     /// A load report came while `own_online` requests of this node ran there.
-    pub fn report(&mut self, now_ms: u64, report: &EngineReport, own_online: u32) -> LoadNews {
+    pub fn apply_report(
+        &mut self,
+        now_ms: u64,
+        report: &EngineReport,
+        own_online: u32,
+    ) -> LoadChange {
         let header = LoadHeader {
             running: report.running,
             waiting: report.waiting,
             batch_running: report.batch_running,
         };
-        let more_online = self.header(now_ms, &header, own_online);
+        let more_online = self.apply_header(now_ms, &header, own_online);
         self.slots = report.slots.max(1);
         let known = self.preemptions.replace(report.preemptions);
-        LoadNews {
+        LoadChange {
             more_online,
             preemptions: known.map_or(0, |known| report.preemptions.saturating_sub(known)),
         }
@@ -59,7 +64,7 @@
 
     /// The head of an answer carried the load. Returns whether other nodes
     /// have more online requests there than before.
-    pub fn header(&mut self, now_ms: u64, header: &LoadHeader, own_online: u32) -> bool {
+    pub fn apply_header(&mut self, now_ms: u64, header: &LoadHeader, own_online: u32) -> bool {
         let online = header.running.saturating_sub(header.batch_running);
         let before = self.online_elsewhere;
         self.reported_ms = Some(now_ms);
--- a/crates/pinerill-node/src/routing/mod.rs
+++ b/crates/pinerill-node/src/routing/mod.rs
@@ -6,6 +6,6 @@
 mod rendezvous;
 
 pub use choice::{choose, Candidate, Choices, RANDOM_NUMBERS};
-pub use load::{LoadEstimate, LoadNews};
-pub use prefix::{block_names, PrefixHints};
+pub use load::{LoadChange, LoadEstimate};
+pub use prefix::{block_hashes, PrefixHints};
 pub use rendezvous::{rendezvous_owner, rendezvous_weight, select_workers};
--- a/crates/pinerill-node/src/routing/prefix.rs
+++ b/crates/pinerill-node/src/routing/prefix.rs
@@ -19,7 +19,7 @@
 const PREFIXES_LIMIT: usize = 65_536;
 
 /// Names of the prompt's whole cached blocks, from the first on.
-pub fn block_names(model: &str, adapter: Option<&str>, prompt: &str) -> Vec<u64> {
+pub fn block_hashes(model: &str, adapter: Option<&str>, prompt: &str) -> Vec<u64> {
     let mut hasher = Sha256::new();
     hasher.update(without_version(model));
     hasher.update([0]);
--- a/crates/pinerill-node/tests/load_estimate.rs
+++ b/crates/pinerill-node/tests/load_estimate.rs
@@ -16,7 +16,7 @@
 #[test]
 fn only_more_online_work_of_others_is_news() {
     let mut load = LoadEstimate::default();
-    let mut more = |running, own| load.report(0, &report(running, 2, 0), own).more_online;
+    let mut more = |total, own| load.apply_report(0, &report(total, 2, 0), own).more_online;
     assert!(!more(2, 0), "only batch");
     assert!(!more(4, 2), "own requests");
     assert!(more(5, 2), "another node's");
@@ -27,7 +27,7 @@
 #[test]
 fn preemptions_count_from_the_first_report_on() {
     let mut load = LoadEstimate::default();
-    let mut news = |preemptions| load.report(0, &report(0, 0, preemptions), 0).preemptions;
+    let mut news = |count| load.apply_report(0, &report(0, 0, count), 0).preemptions;
     assert_eq!(
         [news(7), news(9), news(9), news(0), news(1)],
         [0, 2, 0, 0, 1]
@@ -37,7 +37,7 @@
 #[test]
 fn online_work_of_others_counts_less_the_older_the_report() {
     let mut load = LoadEstimate::default();
-    load.report(1_000, &report(4, 0, 0), 0);
+    load.apply_report(1_000, &report(4, 0, 0), 0);
     let aged = [1_000, 3_500, 6_000, 9_000].map(|now| load.online_elsewhere(now));
     assert_eq!(aged, [4.0, 2.0, 0.0, 0.0]);
 }
