--- a/crates/pinerill-node/src/admission.rs
+++ b/crates/pinerill-node/src/admission.rs
@@ -1,5 +1,5 @@
-//! Limits of tenants at this node: a token bucket and requests in flight.
-//! Pure: time is given.
+//! Per-tenant limits at this node: a request rate, enforced by a token bucket, and a number of
+//! requests in flight. The module does no I/O; the caller passes the time.
 
 use std::collections::HashMap;
 
@@ -8,15 +8,15 @@
 
 use crate::configuration::TenantPlan;
 
-/// Idle tenants are forgotten when more than this many are known.
-const TENANTS_KEPT: usize = 4_096;
+/// Number of tracked tenants above which the state of idle tenants is dropped.
+const IDLE_CLEANUP_THRESHOLD: usize = 4_096;
 
-/// Why a tenant's request is refused.
+/// The limit that a rejected request exceeds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitReached {
-    /// Too many a second; a token comes after so many milliseconds.
+    /// The request rate. Contains the time until the next token in milliseconds.
     Rate(u64),
-    /// Too many in flight.
+    /// The number of requests in flight.
     Concurrency,
 }
 
@@ -26,20 +26,22 @@
     in_flight: u32,
 }
 
-/// Limits of all tenants.
+/// Token buckets and in-flight counts of the tenants at this node.
 #[derive(Debug, Default)]
 pub struct TenantLimits {
     tenants: HashMap<TenantName, TenantState>,
 }
 
 impl TenantLimits {
-    /// Admits one request of a tenant; [`Self::release`] ends it.
+    /// Admits one request of a tenant, which takes a token and counts as in flight until
+    /// [`Self::release`] is called.
     ///
     /// # Errors
-    /// The limit that it would break.
+    /// Returns the limit that the request would exceed. The request then takes no token and
+    /// does not count as in flight.
     pub fn admit(&mut self, now_ms: u64, limits: &TenantPlan) -> Result<(), LimitReached> {
         let burst = f64::from(limits.burst.max(1));
-        self.forget_idle();
+        self.drop_idle();
         let state = self
             .tenants
             .entry(limits.name.clone())
@@ -58,17 +60,18 @@
         Ok(())
     }
 
-    /// One request of a tenant ended.
+    /// Ends one admitted request of a tenant. Does nothing for an unknown tenant.
     pub fn release(&mut self, name: &TenantName) {
         if let Some(state) = self.tenants.get_mut(name) {
             state.in_flight = state.in_flight.saturating_sub(1);
         }
     }
 
-    /// A forgotten tenant starts with a full bucket, so only so many are
-    /// forgotten as keeps memory bounded.
-    fn forget_idle(&mut self) {
-        if self.tenants.len() > TENANTS_KEPT {
+    /// Drops all tenants without requests in flight once there are more than
+    /// `IDLE_CLEANUP_THRESHOLD`, which bounds memory. Below that they are kept, because a dropped
+    /// tenant starts again with a full bucket.
+    fn drop_idle(&mut self) {
+        if self.tenants.len() > IDLE_CLEANUP_THRESHOLD {
             self.tenants.retain(|_, state| state.in_flight > 0);
         }
     }
--- a/crates/pinerill-node/src/dispatcher/place.rs
+++ b/crates/pinerill-node/src/dispatcher/slot.rs
@@ -1,17 +1,19 @@
-//! A place of one online request at an engine.
+//! Slots of engines that are held by this node's online requests.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-use super::choosing::Choice;
+use super::engine_choice::EngineChoice;
 use super::Dispatcher;
 use crate::membership::Engine;
 
-/// A place of one request at an engine; given back when dropped.
+/// Holds a slot of an engine for one online request. Dropping it releases the slot and assigns
+/// free slots to queued requests.
 pub struct SlotGuard {
-    /// The engine.
+    /// The engine that the slot belongs to.
     pub engine: Arc<Engine>,
-    /// What it has still to prefill for the request.
+    /// Accounts for the request's tokens that the engine has yet to prefill. The holder takes
+    /// it out and drops it when the prefill ends.
     pub pending_prefill: Option<PendingPrefill>,
     dispatcher: Arc<Dispatcher>,
 }
@@ -19,11 +21,11 @@
 impl Drop for SlotGuard {
     fn drop(&mut self) {
         self.engine.online.fetch_sub(1, Ordering::Relaxed);
-        self.dispatcher.pump();
+        self.dispatcher.assign_free_slots();
     }
 }
 
-/// Prompt tokens that an engine has still to prefill; counted until dropped.
+/// Counts prompt tokens of one request in `Engine::pending_tokens` until it is dropped.
 pub struct PendingPrefill {
     engine: Arc<Engine>,
     tokens: u32,
@@ -44,7 +46,9 @@
 }
 
 impl Dispatcher {
-    pub(super) fn take_place(self: &Arc<Self>, choice: Choice) -> SlotGuard {
+    /// Takes a slot of the chosen engine and counts the arrival as a sign of online work there.
+    /// Also wakes the batch scheduler if this node schedules the engine's batch work.
+    pub(super) fn take_slot(self: &Arc<Self>, choice: EngineChoice) -> SlotGuard {
         let engine = choice.engine;
         engine.online.fetch_add(1, Ordering::Relaxed);
         engine.sign_online();
--- a/crates/pinerill-node/src/routing/choice.rs
+++ b/crates/pinerill-node/src/routing/choice.rs
@@ -1,143 +1,153 @@
-//! Chooses among engines that serve a request. Pure: the random numbers are
-//! given.
+//! Chooses the engine for an online request by a cost estimate. The functions have no side
+//! effects, and the caller passes the random numbers. The dispatcher uses this module.
 //!
-//! Without batch work, online requests spread. Beside batch work they keep to
-//! engines that have some already: a step there is shorter than at an engine
-//! that prefills batch, and batch keeps the others for itself. Only up to a
-//! share of the slots, so that prefills rarely meet and a lost engine takes
-//! few requests with it.
+//! Online requests are spread over engines without batch work. On engines with batch work they
+//! are packed: they go to engines that already run online requests. A step there is shorter
+//! than on an engine that prefills batch requests, and the other engines stay free for batch
+//! work. Packing stops at a share of the slots, so that prefills rarely coincide and the loss
+//! of an engine affects few requests.
 
-/// Prompt tokens to prefill that cost as much as one request that runs: a
-/// prefill lengthens the step that a first token waits for, a request that
-/// decodes hardly does.
+/// Number of prompt tokens to prefill that cost as much as one running request. A prefill
+/// lengthens the step that the first token waits for; a decoding request hardly does.
 const PREFILL_TOKENS_PER_REQUEST: f32 = 64.0;
-/// A prompt with more tokens to prefill holds others up, so it is not packed.
+/// Number of tokens to prefill above which a request is not packed, because its prefill would
+/// delay the other requests on the engine.
 const LONG_PREFILL_TOKENS: u32 = 1_024;
-/// Share of the slots up to which online requests are packed beside batch.
+/// Share of an engine's slots up to which online requests are packed on it.
 const PACKED_SHARE: f32 = 0.75;
-/// What each request beyond that share costs: more than a shared prompt that
-/// another engine would have to prefill, since an engine that runs full makes
-/// requests wait for a slot.
-const CROWDED_COST: f32 = 8.0;
-/// Cost of the fullest and of the emptiest engine that requests are packed
-/// to, and of one that batch has for itself, in requests that run.
+/// Cost of each request above `PACKED_SHARE`, in running requests. It is higher than the cost
+/// of prefilling a shared prompt again on another engine, because requests have to wait for a
+/// slot once an engine is full.
+const OVER_PACKED_COST: f32 = 8.0;
+/// Cost of the fullest and of the emptiest engine that requests are packed on, in running
+/// requests. Engines in between are interpolated linearly.
 const PACKED_COST: (f32, f32) = (0.0, 0.5);
-const UNDISTURBED_BATCH_COST: f32 = 0.75;
-/// What one zone further away costs, in requests that run.
+/// Cost of an engine with batch work and without online requests, in running requests.
+const BATCH_ONLY_COST: f32 = 0.75;
+/// Cost of each step in zone distance, in running requests.
 const ZONE_COST: f32 = 2.0;
-/// What it saves that this node drives the engine's batch and so sees an
-/// arrival first, in requests that run.
-const DRIVEN_GAIN: f32 = 0.5;
-/// Engines that are looked at of all, and of those with a cached prefix.
-const SAMPLES: usize = 2;
-/// Random numbers that a choice takes.
-pub const RANDOM_NUMBERS: usize = 2 * SAMPLES;
+/// Cost reduction for an engine whose batch work this node schedules, in running requests. Such
+/// an engine is preferred because its batch scheduler sees the arrival of the request first.
+const BATCH_OWNER_BONUS: f32 = 0.5;
+/// Number of engines sampled from all engines, and again from those with a cached prefix.
+const SAMPLE_SIZE: usize = 2;
+/// Number of random numbers that one call of [`choose`] needs.
+pub const RANDOM_NUMBERS: usize = 2 * SAMPLE_SIZE;
 
-/// One engine as the choice sees it.
+/// The state of one engine that its cost is computed from.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// Online requests there, own ones exact, others estimated.
+    /// Online requests on the engine: an exact count of this node's requests plus an estimate
+    /// of those of other nodes.
     pub online: f32,
-    /// Requests that run at once.
+    /// Number of requests that the engine can run at the same time.
     pub slots: u32,
-    /// Its worker is suspected to be gone.
+    /// Excludes the engine from the choice: its worker accepts no new work or is suspected to
+    /// be down, or the request cannot run on this engine.
     pub suspected: bool,
-    /// 0 for the own zone, 1 for the nearest neighbour, ….
+    /// Distance of the engine's zone: 0 for this node's zone, 1 for the nearest neighbouring
+    /// zone, and so on.
     pub zone_rank: u32,
-    /// This node drives its batch.
+    /// Whether this node schedules the engine's batch work.
     pub driven: bool,
-    /// Batch work waits for it or runs there.
+    /// Whether batch requests run on the engine or are queued for a service that it serves.
     pub shared_with_batch: bool,
-    /// Prompt tokens that it seems to have cached.
+    /// Estimated number of the request's prompt tokens in the engine's prefix cache.
     pub cached_tokens: u32,
-    /// Prompt tokens of requests from here that it has still to prefill.
+    /// Prompt tokens of this node's other requests that the engine has yet to prefill.
     pub pending_tokens: u32,
 }
 
 impl Candidate {
-    fn has_room(&self) -> bool {
+    fn has_free_slot(&self) -> bool {
         !self.suspected && self.online < self.slots as f32
     }
 
+    /// Returns the cost of running a prompt of this length here, in running requests.
     fn cost(&self, prompt_tokens: u32) -> f32 {
         let uncached = prompt_tokens.saturating_sub(self.cached_tokens);
         let to_prefill = uncached.saturating_add(self.pending_tokens) as f32;
-        let driven = if self.driven { DRIVEN_GAIN } else { 0.0 };
-        self.crowding(uncached)
+        let driven = if self.driven { BATCH_OWNER_BONUS } else { 0.0 };
+        self.load_cost(uncached)
             + to_prefill / PREFILL_TOKENS_PER_REQUEST
             + ZONE_COST * self.zone_rank as f32
             - driven
     }
 
-    /// What the requests there cost one that joins them.
-    fn crowding(&self, uncached: u32) -> f32 {
+    /// Returns the cost caused by the online requests that already run on the engine, for a
+    /// request with `uncached` tokens to prefill.
+    fn load_cost(&self, uncached: u32) -> f32 {
         if !self.shared_with_batch || uncached > LONG_PREFILL_TOKENS {
             return self.online;
         }
         let packed = self.slots as f32 * PACKED_SHARE;
         match self.online {
-            online if online < 1.0 => UNDISTURBED_BATCH_COST,
+            online if online < 1.0 => BATCH_ONLY_COST,
             online if online < packed => {
                 let (fullest, emptiest) = PACKED_COST;
                 emptiest + (fullest - emptiest) * online / packed
             }
-            online => 1.0 + CROWDED_COST * (online - packed),
+            online => 1.0 + OVER_PACKED_COST * (online - packed),
         }
     }
 }
 
-/// The engines among which a request may choose, by their numbers.
+/// The engines that a request can go to, as indices below `count`.
 #[derive(Debug, Clone, Copy)]
-pub struct Choices<'a> {
-    /// How many there are.
+pub struct CandidateSet<'a> {
+    /// Number of engines.
     pub count: usize,
-    /// Those that seem to have the longest cached prefix.
+    /// Engines that probably have the longest prefix of the prompt cached.
     pub hinted: &'a [usize],
-    /// Those that have online requests of this node.
+    /// Engines that run online requests of this node.
     pub active: &'a [usize],
 }
 
-/// The best of the engines in use and of some taken at random, of all and of
-/// those with a cached prefix; when none of them has room, the best of all.
-/// None when none has room. At random, because reports lag: all nodes would
-/// run to the engine that seems the best. What this node has in use is known
-/// exactly, and differs from node to node.
+/// Returns the index of the cheapest engine with a free slot, or None if no engine has one.
 ///
-/// `view` gives the engine with a number below `choices.count`.
+/// The cost is compared among the active engines, a random sample of all engines, and a random
+/// sample of the hinted ones. If none of these has a free slot, all engines are compared.
+/// Sampling is random because load reports lag: without it, all nodes would send their requests
+/// to the same engine that looks cheapest. The active engines need no sampling, because this
+/// node knows its own requests exactly and they differ from node to node.
+///
+/// `candidate_at` returns the state of the engine with a given index below `candidates.count`.
 pub fn choose(
-    choices: Choices<'_>,
+    candidates: CandidateSet<'_>,
     prompt_tokens: u32,
     random: [usize; RANDOM_NUMBERS],
-    view: impl Fn(usize) -> Candidate,
+    candidate_at: impl Fn(usize) -> Candidate,
 ) -> Option<usize> {
-    let Choices {
+    let CandidateSet {
         count,
         hinted,
         active,
-    } = choices;
+    } = candidates;
     let [first, second, third, fourth] = random;
-    let of_all = sample(count, [first, second]);
-    let of_hinted = sample(hinted.len(), [third, fourth]).map(|at| hinted[at]);
-    let sampled = of_all.chain(of_hinted).chain(active.iter().copied());
-    best(sampled, prompt_tokens, &view).or_else(|| best(0..count, prompt_tokens, &view))
+    let from_all = sample(count, [first, second]);
+    let from_hinted = sample(hinted.len(), [third, fourth]).map(|at| hinted[at]);
+    let sampled = from_all.chain(from_hinted).chain(active.iter().copied());
+    cheapest(sampled, prompt_tokens, &candidate_at)
+        .or_else(|| cheapest(0..count, prompt_tokens, &candidate_at))
 }
 
-/// Numbers below `count`, different ones where there are enough.
-fn sample(count: usize, random: [usize; SAMPLES]) -> impl Iterator<Item = usize> {
+/// Returns up to `SAMPLE_SIZE` distinct indices below `count`.
+fn sample(count: usize, random: [usize; SAMPLE_SIZE]) -> impl Iterator<Item = usize> {
     let first = random[0] % count.max(1);
     let offset = 1 + random[1] % count.saturating_sub(1).max(1);
     let samples = [first, (first + offset) % count.max(1)];
     samples.into_iter().take(count)
 }
 
-fn best(
+/// Returns the cheapest engine with a free slot among `indices`, or None if there is none.
+fn cheapest(
     indices: impl Iterator<Item = usize>,
     prompt_tokens: u32,
-    view: &impl Fn(usize) -> Candidate,
+    candidate_at: &impl Fn(usize) -> Candidate,
 ) -> Option<usize> {
     indices
-        .map(|index| (index, view(index)))
-        .filter(|(_, candidate)| candidate.has_room())
+        .map(|index| (index, candidate_at(index)))
+        .filter(|(_, candidate)| candidate.has_free_slot())
         .map(|(index, candidate)| (index, candidate.cost(prompt_tokens)))
         .min_by(|left, right| left.1.total_cmp(&right.1))
         .map(|(index, _)| index)
--- a/crates/pinerill-node/src/routing/load.rs
+++ b/crates/pinerill-node/src/routing/load.rs
@@ -1,15 +1,17 @@
-//! How loaded an engine is: the node's own count, which is exact, and the
-//! last report, which lags and counts less the older it is. Pure.
+//! Estimates the load that other nodes put on an engine. This node counts its own requests
+//! exactly and subtracts them from the load that the engine reports. Reports lag, so their
+//! weight decreases with their age. The functions have no side effects, and the caller passes
+//! the time.
 
 use crate::engine::LoadHeader;
 use crate::membership::EngineReport;
 
-/// Slots of an engine that has not reported yet.
-const SLOTS_DEFAULT: u32 = 16;
-/// Age at which a report counts nothing any more, milliseconds.
-const REPORT_LIFE_MS: f32 = 5_000.0;
+/// Number of slots assumed for an engine before its first load report.
+const DEFAULT_SLOTS: u32 = 16;
+/// Age at which the weight of a report reaches zero, in milliseconds.
+const REPORT_EXPIRY_MS: f32 = 5_000.0;
 
-/// What is known of one engine's load.
+/// Estimated load of one engine, from its load reports and the load headers of its responses.
 #[derive(Debug, Clone)]
 pub struct LoadEstimate {
     reported_ms: Option<u64>,
@@ -19,12 +21,12 @@
     preemptions: Option<u64>,
 }
 
-/// What a report told anew.
+/// The change that a load report brought to a [`LoadEstimate`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadChange {
-    /// Other nodes have more online requests there than before.
+    /// Whether the number of online requests of other nodes increased.
     pub more_online: bool,
-    /// Preemptions since the report before.
+    /// Preemptions since the previous report; zero for the first report.
     pub preemptions: u64,
 }
 
@@ -33,7 +35,7 @@
         Self {
             reported_ms: None,
             online_elsewhere: 0,
-            slots: SLOTS_DEFAULT,
+            slots: DEFAULT_SLOTS,
             batch_running: 0,
             preemptions: None,
         }
@@ -41,7 +43,8 @@
 }
 
 impl LoadEstimate {
-    /// A load report came while `own_online` requests of this node ran there.
+    /// Updates the estimate from a load report. `own_online` is the number of online requests
+    /// that this node has on the engine at the time.
     pub fn apply_report(
         &mut self,
         now_ms: u64,
@@ -55,15 +58,15 @@
         };
         let more_online = self.apply_header(now_ms, &header, own_online);
         self.slots = report.slots.max(1);
-        let known = self.preemptions.replace(report.preemptions);
+        let previous = self.preemptions.replace(report.preemptions);
         LoadChange {
             more_online,
-            preemptions: known.map_or(0, |known| report.preemptions.saturating_sub(known)),
+            preemptions: previous.map_or(0, |previous| report.preemptions.saturating_sub(previous)),
         }
     }
 
-    /// The head of an answer carried the load. Returns whether other nodes
-    /// have more online requests there than before.
+    /// Updates the estimate from the load header of a response. Returns whether the number of
+    /// online requests of other nodes increased.
     pub fn apply_header(&mut self, now_ms: u64, header: &LoadHeader, own_online: u32) -> bool {
         let online = header.running.saturating_sub(header.batch_running);
         let before = self.online_elsewhere;
@@ -73,26 +76,27 @@
         self.online_elsewhere > before
     }
 
-    /// Whether anything is known of it.
+    /// Returns whether a load report or load header has been received.
     pub fn has_reported(&self) -> bool {
         self.reported_ms.is_some()
     }
 
-    /// Online requests of other nodes, aged.
+    /// Returns the estimated number of online requests of other nodes. It decreases linearly
+    /// with the age of the last report and is zero without a report.
     pub fn online_elsewhere(&self, now_ms: u64) -> f32 {
         let Some(reported) = self.reported_ms else {
             return 0.0;
         };
         let age = now_ms.saturating_sub(reported) as f32;
-        self.online_elsewhere as f32 * (1.0 - age / REPORT_LIFE_MS).max(0.0)
+        self.online_elsewhere as f32 * (1.0 - age / REPORT_EXPIRY_MS).max(0.0)
     }
 
-    /// Requests that the engine runs at once.
+    /// Returns the number of requests that the engine can run at the same time.
     pub fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// Batch requests with a slot at the last report.
+    /// Returns the number of running batch requests in the last report or header.
     pub fn batch_running(&self) -> u32 {
         self.batch_running
     }
--- a/crates/pinerill-node/tests/load_estimate.rs
+++ b/crates/pinerill-node/tests/load_estimate.rs
@@ -1,4 +1,4 @@
-//! What load reports tell of online work at an engine.
+//! Tests of the load estimate that is derived from an engine's load reports.
 
 use pinerill_node::membership::EngineReport;
 use pinerill_node::routing::LoadEstimate;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn only_more_online_work_of_others_is_news() {
+fn only_an_increase_of_other_nodes_online_requests_is_reported() {
     let mut load = LoadEstimate::default();
     let mut more = |total, own| load.apply_report(0, &report(total, 2, 0), own).more_online;
     assert!(!more(2, 0), "only batch");
@@ -25,17 +25,17 @@
 }
 
 #[test]
-fn preemptions_count_from_the_first_report_on() {
+fn preemptions_are_counted_from_the_first_report() {
     let mut load = LoadEstimate::default();
-    let mut news = |count| load.apply_report(0, &report(0, 0, count), 0).preemptions;
+    let mut added = |count| load.apply_report(0, &report(0, 0, count), 0).preemptions;
     assert_eq!(
-        [news(7), news(9), news(9), news(0), news(1)],
+        [added(7), added(9), added(9), added(0), added(1)],
         [0, 2, 0, 0, 1]
     );
 }
 
 #[test]
-fn online_work_of_others_counts_less_the_older_the_report() {
+fn online_requests_of_other_nodes_decay_with_the_age_of_the_report() {
     let mut load = LoadEstimate::default();
     load.apply_report(1_000, &report(4, 0, 0), 0);
     let aged = [1_000, 3_500, 6_000, 9_000].map(|now| load.online_elsewhere(now));
--- a/crates/pinerill-node/tests/routing_choice.rs
+++ b/crates/pinerill-node/tests/routing_choice.rs
@@ -1,6 +1,6 @@
-//! Which of several engines an online request gets.
+//! Tests of the choice of an engine for an online request.
 
-use pinerill_node::routing::{choose, Candidate, Choices, RANDOM_NUMBERS};
+use pinerill_node::routing::{choose, Candidate, CandidateSet, RANDOM_NUMBERS};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// A fleet of which each request stays until it is taken away.
+/// Engines on which requests never end.
 struct Engines {
     random: Pcg64,
     candidates: Vec<Candidate>,
@@ -39,18 +39,16 @@
         let engines = self.candidates.iter().enumerate();
         let active = engines.filter(|(_, engine)| engine.online > 0.0);
         let active: Vec<usize> = active.map(|(index, _)| index).collect();
-        let choices = Choices {
+        let set = CandidateSet {
             count: self.candidates.len(),
             hinted,
             active: &active,
         };
         let random: [usize; RANDOM_NUMBERS] = self.random.gen();
-        choose(choices, prompt_tokens, random, |index| {
-            self.candidates[index]
-        })
+        choose(set, prompt_tokens, random, |index| self.candidates[index])
     }
 
-    /// Places requests that stay, and tells how many engines have some.
+    /// Assigns requests that never end. Returns the number of engines that have any.
     fn fill(&mut self, requests: usize) -> usize {
         for _ in 0..requests {
             let index = self.choose(&[], PROMPT_TOKENS).expect("room");
@@ -62,24 +60,27 @@
 }
 
 #[test]
-fn beside_batch_requests_keep_to_few_engines_and_spread_without() {
+fn requests_are_packed_on_few_engines_with_batch_work_and_spread_without() {
     let mut shared = Engines::new(vec![candidate(0, true); 20]);
-    assert!(shared.fill(36) <= 4, "36 requests at 12 of 16 slots each");
+    assert!(
+        shared.fill(36) <= 4,
+        "36 requests fit on 3 engines with 12 of 16 slots each"
+    );
     let most = shared.candidates.iter().map(|one| one.online as u32).max();
-    assert!(most <= Some(13), "{most:?} at one engine");
+    assert!(most <= Some(13), "{most:?} requests on one engine");
     let mut alone = Engines::new(vec![candidate(0, false); 20]);
     assert!(alone.fill(24) >= 14);
 }
 
 #[test]
-fn a_burst_opens_engines_of_batch_up_to_the_last_slot() {
+fn a_burst_fills_all_slots_of_engines_with_batch_work() {
     let mut engines = Engines::new(vec![candidate(0, true); 4]);
     assert_eq!(engines.fill(64), 4);
     assert_eq!(engines.choose(&[], PROMPT_TOKENS), None);
 }
 
 #[test]
-fn an_engine_without_the_prefix_is_opened_before_one_with_it_runs_full() {
+fn an_engine_without_the_prefix_is_used_before_one_with_it_is_full() {
     let mut engines = Engines::new(vec![candidate(0, true); 4]);
     engines.candidates[0].cached_tokens = 512;
     for _ in 0..20 {
@@ -87,11 +88,14 @@
         engines.candidates[index].online += 1.0;
     }
     let first = engines.candidates[0].online;
-    assert!((12.0..=14.0).contains(&first), "{first} of 16 slots");
+    assert!(
+        (12.0..=14.0).contains(&first),
+        "{first} of 16 slots are in use"
+    );
 }
 
 #[test]
-fn a_long_prompt_goes_where_it_holds_up_nobody() {
+fn a_long_prompt_goes_to_an_engine_without_online_requests() {
     let mut engines = Engines::new(vec![candidate(4, true); 8]);
     engines.candidates[5] = candidate(0, true);
     let chosen = (0..50).map(|_| engines.choose(&[], LONG_PROMPT_TOKENS));
@@ -104,7 +108,7 @@
 }
 
 #[test]
-fn a_request_keeps_away_from_an_engine_that_prefills_another_prompt() {
+fn a_request_avoids_an_engine_that_prefills_another_prompt() {
     for (shared, pending) in [
         (false, LONG_PROMPT_TOKENS),
         (true, LONG_PROMPT_TOKENS),
@@ -120,7 +124,7 @@
 }
 
 #[test]
-fn a_prefix_that_many_engines_have_leads_to_all_of_them() {
+fn requests_with_a_widely_cached_prefix_spread_over_all_engines_that_have_it() {
     let mut engines = Engines::new(vec![candidate(0, false); 40]);
     let hinted: Vec<usize> = (0..32).collect();
     for index in 0..32 {
@@ -133,11 +137,15 @@
     }
     assert!(seen[..32].iter().all(|count| *count > 0));
     assert!(seen.iter().all(|count| *count < 60), "{seen:?}");
-    assert_eq!(seen[32..].iter().sum::<u32>(), 0, "uncached ones");
+    assert_eq!(
+        seen[32..].iter().sum::<u32>(),
+        0,
+        "requests on engines without the prefix"
+    );
 }
 
 #[test]
-fn an_engine_of_the_own_zone_is_opened_before_requests_cross_zones() {
+fn idle_engines_of_the_local_zone_are_used_before_other_zones() {
     let mut engines = Engines::new(vec![candidate(0, true); 4]);
     engines.candidates[2].zone_rank = 1;
     engines.candidates[3].zone_rank = 2;
