--- a/crates/pinerill-node/src/dispatcher/engine_choice.rs
+++ b/crates/pinerill-node/src/dispatcher/engine_choice.rs
@@ -44,8 +44,8 @@
                 false => 0,
             };
             let mut candidate = engine.candidate(now_ms, cached);
-            candidate.suspected |= !all_excluded && request.excluded.contains(&engine.id);
-            candidate.suspected |= !serves_required_version(engine, request);
+            candidate.excluded |= !all_excluded && request.excluded.contains(&engine.id);
+            candidate.excluded |= !serves_required_version(engine, request);
             candidate
         };
         let candidates = CandidateSet {
--- a/crates/pinerill-node/src/membership/engine.rs
+++ b/crates/pinerill-node/src/membership/engine.rs
@@ -123,9 +123,9 @@
         Candidate {
             online: own as f32 + load.online_elsewhere(now_ms),
             slots: load.slots(),
-            suspected: !self.worker.accepts_work(now_ms),
+            excluded: !self.worker.accepts_work(now_ms),
             zone_rank: self.worker.zone_rank,
-            driven: self.worker.is_driven(),
+            batch_owner: self.worker.is_driven(),
             shared_with_batch: self.shared_with_batch.load(Ordering::Relaxed),
             cached_tokens,
             pending_tokens: self.pending_tokens.load(Ordering::Relaxed),
--- a/crates/pinerill-node/src/routing/choice.rs
+++ b/crates/pinerill-node/src/routing/choice.rs
@@ -42,14 +42,14 @@
     pub online: f32,
     /// Number of requests that the engine can run at the same time.
     pub slots: u32,
-    /// Excludes the engine from the choice: its worker accepts no new work or is suspected to
-    /// be down, or the request cannot run on this engine.
-    pub suspected: bool,
+    /// Whether the engine must not be chosen: its worker accepts no new work or is suspected to
+    /// be down, or the request must not run on this engine.
+    pub excluded: bool,
     /// Distance of the engine's zone: 0 for this node's zone, 1 for the nearest neighbouring
     /// zone, and so on.
     pub zone_rank: u32,
     /// Whether this node schedules the engine's batch work.
-    pub driven: bool,
+    pub batch_owner: bool,
     /// Whether batch requests run on the engine or are queued for a service that it serves.
     pub shared_with_batch: bool,
     /// Estimated number of the request's prompt tokens in the engine's prefix cache.
@@ -60,18 +60,22 @@
 
 impl Candidate {
     fn has_free_slot(&self) -> bool {
-        !self.suspected && self.online < self.slots as f32
+        !self.excluded && self.online < self.slots as f32
     }
 
     /// Returns the cost of running a prompt of this length here, in running requests.
     fn cost(&self, prompt_tokens: u32) -> f32 {
         let uncached = prompt_tokens.saturating_sub(self.cached_tokens);
         let to_prefill = uncached.saturating_add(self.pending_tokens) as f32;
-        let driven = if self.driven { BATCH_OWNER_BONUS } else { 0.0 };
+        let bonus = if self.batch_owner {
+            BATCH_OWNER_BONUS
+        } else {
+            0.0
+        };
         self.load_cost(uncached)
             + to_prefill / PREFILL_TOKENS_PER_REQUEST
             + ZONE_COST * self.zone_rank as f32
-            - driven
+            - bonus
     }
 
     /// Returns the cost caused by the online requests that already run on the engine, for a
--- a/crates/pinerill-node/tests/routing_choice.rs
+++ b/crates/pinerill-node/tests/routing_choice.rs
@@ -12,9 +12,9 @@
     Candidate {
         online: online as f32,
         slots: SLOTS,
-        suspected: false,
+        excluded: false,
         zone_rank: 0,
-        driven: true,
+        batch_owner: true,
         shared_with_batch,
         cached_tokens: 0,
         pending_tokens: 0,
@@ -158,13 +158,13 @@
 }
 
 #[test]
-fn a_suspected_or_full_engine_is_never_chosen() {
+fn an_excluded_or_full_engine_is_never_chosen() {
     let mut engines = Engines::new(vec![candidate(0, false); 3]);
-    engines.candidates[0].suspected = true;
+    engines.candidates[0].excluded = true;
     engines.candidates[1].online = SLOTS as f32;
     for _ in 0..20 {
         assert_eq!(engines.choose(&[0, 1], PROMPT_TOKENS), Some(2));
     }
-    engines.candidates[2].suspected = true;
+    engines.candidates[2].excluded = true;
     assert_eq!(engines.choose(&[0, 1], PROMPT_TOKENS), None);
 }
