--- a/crates/pinerill-node/src/routing/load.rs
+++ b/crates/pinerill-node/src/routing/load.rs
@@ -1,7 +1,6 @@
 //! Estimates the load that other nodes put on an engine. This node counts its own requests
 //! exactly and subtracts them from the load that the engine reports. Reports lag, so their
-//! weight decreases with their age. The functions have no side effects, and the caller passes
-//! the time.
+//! weight decreases with their age. The module does no I/O; the caller passes the time.
 
 use crate::engine::LoadHeader;
 use crate::membership::EngineReport;
@@ -26,7 +25,8 @@
 pub struct LoadChange {
     /// Whether the number of online requests of other nodes increased.
     pub more_online: bool,
-    /// Preemptions since the previous report; zero for the first report.
+    /// Preemptions since the previous report. Zero for the first report, and if the engine's
+    /// counter is lower than before.
     pub preemptions: u64,
 }
 
@@ -82,7 +82,8 @@
     }
 
     /// Returns the estimated number of online requests of other nodes. It decreases linearly
-    /// with the age of the last report and is zero without a report.
+    /// with the age of the last report. It is zero without a report, or if the last one is
+    /// `REPORT_EXPIRY_MS` old or older.
     pub fn online_elsewhere(&self, now_ms: u64) -> f32 {
         let Some(reported) = self.reported_ms else {
             return 0.0;
--- a/crates/pinerill-node/src/routing/mod.rs
+++ b/crates/pinerill-node/src/routing/mod.rs
@@ -1,5 +1,5 @@
-//! Decides which engine runs a request and which workers a node uses. The functions of all
-//! submodules have no side effects: time and random numbers are passed in.
+//! Decides which engine runs a request and which workers a node uses. The submodules do no I/O,
+//! and callers pass the time and random numbers.
 
 mod choice;
 mod load;
--- a/crates/pinerill-node/src/routing/prefix.rs
+++ b/crates/pinerill-node/src/routing/prefix.rs
@@ -19,9 +19,9 @@
 /// Number of prefixes recorded at most. The oldest are dropped first.
 const MAX_PREFIXES: usize = 65_536;
 
-/// Returns the hashes of the prompt's whole blocks in order, at most `MAX_HASHED_BLOCKS`. Each hash
-/// covers the model, the adapter and the prompt up to the end of its block. Versions of the
-/// model and the adapter are left out.
+/// Returns the hashes of the prompt's whole blocks in order, at most `MAX_HASHED_BLOCKS`. Each
+/// hash covers the names of the model and the adapter, without their versions, and the prompt
+/// up to the end of its block.
 pub fn block_hashes(model: &str, adapter: Option<&str>, prompt: &str) -> Vec<u64> {
     let mut hasher = Sha256::new();
     hasher.update(without_version(model));
--- a/crates/pinerill-node/src/routing/rendezvous.rs
+++ b/crates/pinerill-node/src/routing/rendezvous.rs
@@ -9,8 +9,8 @@
 const MURMUR3_MULTIPLIER_1: u64 = 0xff51_afd7_ed55_8ccd;
 const MURMUR3_MULTIPLIER_2: u64 = 0xc4ce_b9fe_1a85_ec53;
 
-/// Returns the rendezvous weight of a pair of names: their FNV-1a hash, mixed so that the high
-/// bits also depend on all input bytes. The pair with the highest weight wins.
+/// Returns the rendezvous weight of a pair of names: their FNV-1a hash, finalized so that each
+/// bit of the hash affects the whole weight. The pair with the highest weight wins.
 pub fn rendezvous_weight(left: &str, right: &str) -> u64 {
     let separated = left.bytes().chain([0]).chain(right.bytes());
     let hash = separated.fold(FNV_OFFSET, |hash, byte| {
--- a/crates/pinerill-node/tests/routing_choice.rs
+++ b/crates/pinerill-node/tests/routing_choice.rs
@@ -39,13 +39,15 @@
         let engines = self.candidates.iter().enumerate();
         let active = engines.filter(|(_, engine)| engine.online > 0.0);
         let active: Vec<usize> = active.map(|(index, _)| index).collect();
-        let set = CandidateSet {
+        let candidate_set = CandidateSet {
             count: self.candidates.len(),
             hinted,
             active: &active,
         };
         let random: [usize; RANDOM_NUMBERS] = self.random.gen();
-        choose(set, prompt_tokens, random, |index| self.candidates[index])
+        choose(candidate_set, prompt_tokens, random, |index| {
+            self.candidates[index]
+        })
     }
 
     /// Assigns requests that never end. Returns the number of engines that have any.
