--- a/crates/pinerill-node/src/membership/engine.rs
+++ b/crates/pinerill-node/src/membership/engine.rs
@@ -123,9 +123,9 @@
         Candidate {
             online: own as f32 + load.online_elsewhere(now_ms),
             slots: load.slots(),
-            suspected: !self.worker.accepts_work(now_ms),
+            excluded: !self.worker.accepts_work(now_ms),
             zone_rank: self.worker.zone_rank,
-            driven: self.worker.is_driven(),
+            batch_owner: self.worker.is_driven(),
             shared_with_batch: self.shared_with_batch.load(Ordering::Relaxed),
             cached_tokens,
             pending_tokens: self.pending_tokens.load(Ordering::Relaxed),
@@ -137,7 +137,7 @@
     pub(super) fn take_load_header(&self, now_ms: u64, header: &LoadHeader) -> bool {
         self.worker.answers.fetch_add(1, Ordering::Relaxed);
         let own = self.online.load(Ordering::Relaxed);
-        let more = self.load.lock().header(now_ms, header, own);
+        let more = self.load.lock().apply_header(now_ms, header, own);
         if more {
             self.sign_online();
         }
@@ -164,7 +164,7 @@
         metrics: &Metrics,
     ) -> ReportNews {
         let own = self.online.load(Ordering::Relaxed);
-        let news = self.load.lock().report(now_ms, report, own);
+        let news = self.load.lock().apply_report(now_ms, report, own);
         metrics.preemptions.inc_by(news.preemptions);
         self.preemptions
             .fetch_add(news.preemptions, Ordering::Relaxed);
