--- a/crates/pinerill-node/src/batch/observer.rs
+++ b/crates/pinerill-node/src/batch/observer.rs
@@ -74,7 +74,7 @@
                 let services = self.services.get(&engine.id)?;
                 let waits = services.iter().any(|service| waiting.contains(service));
                 let backlog = services.iter().any(|service| backlogged.contains(service));
-                engine.note_backlog(backlog);
+                engine.update_shared_with_batch(backlog);
                 Some(engine_view(engine, services, waits, now_ms))
             })
             .collect()
@@ -101,7 +101,7 @@
         open: load.has_reported()
             && engine.worker.is_driven()
             && engine.worker.accepts_work(now_ms),
-        arrivals: engine.online_signs.load(Ordering::Relaxed),
+        arrivals: engine.online_activity_count.load(Ordering::Relaxed),
         preemptions: engine.preemptions.load(Ordering::Relaxed),
         waiting,
     }
--- a/crates/pinerill-node/src/batch/run.rs
+++ b/crates/pinerill-node/src/batch/run.rs
@@ -157,7 +157,7 @@
                 self.run.fleet.connection_failed(&self.run.engine.worker);
                 Err(RunEnd::NotRun(message))
             }
-            Err(SendError::MaybeHeard(message)) => self.resume(message).await,
+            Err(SendError::PossiblyReceived(message)) => self.resume(message).await,
         }
     }
 
@@ -187,11 +187,13 @@
             return self.resume(refusal.message).await;
         }
         if refusal.is_leaving() {
-            self.run.fleet.refused_leaving(&self.run.engine.worker);
+            self.run
+                .fleet
+                .record_leaving_refusal(&self.run.engine.worker);
         }
         if refusal.lacks_model() {
             let model = &self.run.served.model;
-            self.run.fleet.refused_model(&self.run.engine, model);
+            self.run.fleet.record_missing_model(&self.run.engine, model);
         }
         let message = format!("{}: {}", refusal.code, refusal.message);
         if refusal.status == 400 && refusal.not_started {
--- a/crates/pinerill-node/src/batch/run/reading.rs
+++ b/crates/pinerill-node/src/batch/run/reading.rs
@@ -7,7 +7,7 @@
 use super::{error_json, Ended, Session};
 use crate::batch::message::{RunCommand, RunEnd};
 use crate::engine::{error_chain, AnswerReader, AttachError, Finish, Progress};
-use crate::membership::note_load;
+use crate::membership::record_response_load;
 
 /// Silence of an engine after which it is asked whether it still has the item.
 const STALL: Duration = Duration::from_secs(30);
@@ -65,7 +65,7 @@
 
     async fn read_connection(&mut self, response: &mut Response) -> Ended<Reading> {
         self.run.partial.reader.start_connection();
-        note_load(&self.run.fleet, &self.run.engine, response);
+        record_response_load(&self.run.fleet, &self.run.engine, response);
         loop {
             // A command may have met a request that the engine did not know
             // yet; what the engine sends shows that it knows it now.
@@ -97,7 +97,7 @@
 
     async fn take(&mut self, bytes: &[u8]) -> Ended<Option<Reading>> {
         let reader = &mut self.run.partial.reader;
-        let progress = reader.take(bytes);
+        let progress = reader.push_bytes(bytes);
         self.run.metrics.count_reading(reader, &progress);
         if reader.text().len() > ANSWER_LIMIT {
             self.cancel().await;
--- a/crates/pinerill-node/src/configuration/mod.rs
+++ b/crates/pinerill-node/src/configuration/mod.rs
@@ -7,6 +7,6 @@
 mod watch;
 
 pub use catalog::{Catalog, ServicePlan};
-pub use state::{ConfigurationState, Taken};
+pub use state::{ConfigurationState, WatchOutcome};
 pub use tenants::TenantPlan;
-pub use watch::{Configuration, WatchShell};
+pub use watch::{Configuration, ControlWatcher};
--- a/crates/pinerill-node/src/configuration/state.rs
+++ b/crates/pinerill-node/src/configuration/state.rs
@@ -13,7 +13,7 @@
 
 /// What became of a watch's answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Taken {
+pub enum WatchOutcome {
     /// A new version is in force.
     Changed {
         /// The version before; none at the first one.
@@ -24,7 +24,7 @@
     /// Nothing new.
     Unchanged,
     /// The answer is older than what is in force, and was ignored.
-    Older(u64),
+    Outdated(u64),
     /// The update does not fit; the next watch asks for a snapshot.
     Unfit(String),
 }
@@ -61,23 +61,23 @@
     }
 
     /// Takes in the answer to the watch that was sent at `sent_ms`.
-    pub fn take(&mut self, sent_ms: u64, response: &WatchResponse) -> Taken {
+    pub fn apply_response(&mut self, sent_ms: u64, response: &WatchResponse) -> WatchOutcome {
         let current = self.catalog.as_ref().map(|one| one.version);
         if current.is_some_and(|version| response.version < version) {
-            return Taken::Older(response.version);
+            return WatchOutcome::Outdated(response.version);
         }
         let taken = match &response.bundle {
-            None => Taken::Unchanged,
+            None => WatchOutcome::Unchanged,
             Some(update) => self.apply(update, response),
         };
         self.renew(sent_ms, response);
         taken
     }
 
-    fn apply(&mut self, update: &BundleUpdate, response: &WatchResponse) -> Taken {
+    fn apply(&mut self, update: &BundleUpdate, response: &WatchResponse) -> WatchOutcome {
         let current = self.catalog.as_ref().map(|one| one.version);
         if current.is_none() && !response.confirmed {
-            return Taken::Unchanged;
+            return WatchOutcome::Unchanged;
         }
         match update {
             BundleUpdate::Snapshot(bundle) => self.take_snapshot(current, bundle),
@@ -85,40 +85,40 @@
         }
     }
 
-    fn take_snapshot(&mut self, current: Option<u64>, bundle: &EncodedBundle) -> Taken {
+    fn take_snapshot(&mut self, current: Option<u64>, bundle: &EncodedBundle) -> WatchOutcome {
         let to = bundle.version();
         if current.is_some_and(|version| to < version) {
-            return Taken::Older(to);
+            return WatchOutcome::Outdated(to);
         }
         let (catalog, index) = match Catalog::read(bundle) {
             Ok(read) => read,
-            Err(error) => return Taken::Unfit(error.to_string()),
+            Err(error) => return WatchOutcome::Unfit(error.to_string()),
         };
         let held = self.catalog.as_ref();
         if current == Some(to) && held.is_some_and(|held| held.digest != catalog.digest) {
             // One version has one content: another content under it is a
             // fault of the sender and changes nothing here.
-            return Taken::Unfit("another bundle under the version in force".to_owned());
+            return WatchOutcome::Unfit("another bundle under the version in force".to_owned());
         }
         self.index = Some(index);
         if current == Some(to) {
-            return Taken::Unchanged;
+            return WatchOutcome::Unchanged;
         }
         self.catalog = Some(Arc::new(catalog));
-        Taken::Changed { from: current, to }
+        WatchOutcome::Changed { from: current, to }
     }
 
-    fn take_changes(&mut self, current: Option<u64>, changes: &[BundleChange]) -> Taken {
+    fn take_changes(&mut self, current: Option<u64>, changes: &[BundleChange]) -> WatchOutcome {
         match self.updated(changes) {
-            Ok(next) if current == Some(next.version) => Taken::Unchanged,
+            Ok(next) if current == Some(next.version) => WatchOutcome::Unchanged,
             Ok(next) => {
                 let to = next.version;
                 self.catalog = Some(next);
-                Taken::Changed { from: current, to }
+                WatchOutcome::Changed { from: current, to }
             }
             Err(message) => {
                 self.index = None;
-                Taken::Unfit(message)
+                WatchOutcome::Unfit(message)
             }
         }
     }
--- a/crates/pinerill-node/src/configuration/watch.rs
+++ b/crates/pinerill-node/src/configuration/watch.rs
@@ -9,7 +9,7 @@
 use pinerill_wire::message::{NodeRecord, Request, Response, WatchRequest, WatchResponse};
 
 use super::catalog::Catalog;
-use super::state::{ConfigurationState, Taken};
+use super::state::{ConfigurationState, WatchOutcome};
 use crate::clock;
 use crate::groups::Groups;
 use crate::membership::Fleet;
@@ -51,7 +51,7 @@
 }
 
 /// Holds the watch.
-pub struct WatchShell {
+pub struct ControlWatcher {
     /// Control machines.
     pub api: Arc<dyn ControlApi>,
     /// Takes bundles in.
@@ -68,7 +68,7 @@
     pub incarnation: u64,
 }
 
-impl WatchShell {
+impl ControlWatcher {
     /// Watches until the task is dropped.
     pub async fn run(self) {
         let mut failing = false;
@@ -147,10 +147,14 @@
     }
 
     fn take_bundle(&self, sent_ms: u64, watch: &WatchResponse) -> Result<(), CallError> {
-        let taken = self.configuration.state.write().take(sent_ms, watch);
+        let taken = self
+            .configuration
+            .state
+            .write()
+            .apply_response(sent_ms, watch);
         match taken {
-            Taken::Unchanged => Ok(()),
-            Taken::Changed { from, to } => {
+            WatchOutcome::Unchanged => Ok(()),
+            WatchOutcome::Changed { from, to } => {
                 let from = from.map_or_else(|| "none".to_owned(), |one| one.to_string());
                 log::info!("bundle {to} is in force, before it {from}");
                 self.metrics.bundle_version.set(to as i64);
@@ -159,8 +163,8 @@
                 }
                 Ok(())
             }
-            Taken::Older(version) => Err(unfit(&format!("version {version} is older"))),
-            Taken::Unfit(message) => Err(unfit(&message)),
+            WatchOutcome::Outdated(version) => Err(unfit(&format!("version {version} is older"))),
+            WatchOutcome::Unfit(message) => Err(unfit(&message)),
         }
     }
 }
--- a/crates/pinerill-node/src/dispatcher/place.rs
+++ b/crates/pinerill-node/src/dispatcher/place.rs
@@ -47,7 +47,7 @@
     pub(super) fn take_place(self: &Arc<Self>, choice: Choice) -> Place {
         let engine = choice.engine;
         engine.online.fetch_add(1, Ordering::Relaxed);
-        engine.sign_online();
+        engine.count_online_activity();
         if engine.worker.is_driven() {
             self.fleet.online_arrived.notify_one();
         }
--- a/crates/pinerill-node/src/engine/answer_reader.rs
+++ b/crates/pinerill-node/src/engine/answer_reader.rs
@@ -78,7 +78,7 @@
     }
 
     /// Takes bytes in.
-    pub fn take(&mut self, bytes: &[u8]) -> Progress {
+    pub fn push_bytes(&mut self, bytes: &[u8]) -> Progress {
         if self.parser.push(bytes).is_err() {
             return Progress::Broken("an event is too long");
         }
--- a/crates/pinerill-node/src/engine/client.rs
+++ b/crates/pinerill-node/src/engine/client.rs
@@ -107,7 +107,7 @@
     NotSent(String),
     /// The engine may have heard of it.
     #[error("{0}")]
-    MaybeHeard(String),
+    PossiblyReceived(String),
 }
 
 /// Answer to a cancel.
@@ -317,7 +317,7 @@
     if error.is_connect() {
         SendError::NotSent(message)
     } else {
-        SendError::MaybeHeard(message)
+        SendError::PossiblyReceived(message)
     }
 }
 
--- a/crates/pinerill-node/src/membership/engine.rs
+++ b/crates/pinerill-node/src/membership/engine.rs
@@ -83,7 +83,7 @@
     /// Batch work of a service that it serves waits or runs.
     pub shared_with_batch: AtomicBool,
     /// Signs that online work arrived there so far.
-    pub online_signs: AtomicU64,
+    pub online_activity_count: AtomicU64,
     /// Preemptions that it reported so far.
     pub preemptions: AtomicU64,
     holding: Mutex<Holding>,
@@ -91,7 +91,7 @@
 
 impl Engine {
     /// Address and path, as other engines import from it.
-    pub fn source(&self) -> String {
+    pub fn kv_source(&self) -> String {
         format!("{}/engines/{}", self.worker.address, self.id.engine)
     }
 
@@ -139,21 +139,21 @@
         let own = self.online.load(Ordering::Relaxed);
         let more = self.load.lock().header(now_ms, header, own);
         if more {
-            self.sign_online();
+            self.count_online_activity();
         }
         more
     }
 
     /// Whether batch work of its services waits. It shares its slots with batch
     /// then, and as long as the last report says that some runs.
-    pub(crate) fn note_backlog(&self, waits: bool) {
+    pub(crate) fn update_shared_with_batch(&self, waits: bool) {
         let shared = waits || self.load.lock().batch_running() > 0;
         self.shared_with_batch.store(shared, Ordering::Relaxed);
     }
 
     /// Online work was seen here.
-    pub fn sign_online(&self) {
-        self.online_signs.fetch_add(1, Ordering::Relaxed);
+    pub fn count_online_activity(&self) {
+        self.online_activity_count.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Takes a report in.
@@ -169,7 +169,7 @@
         self.preemptions
             .fetch_add(news.preemptions, Ordering::Relaxed);
         if news.more_online {
-            self.sign_online();
+            self.count_online_activity();
         }
         ReportNews {
             more_online: news.more_online,
@@ -220,7 +220,7 @@
         online: AtomicU32::new(0),
         pending_tokens: AtomicU32::new(0),
         shared_with_batch: AtomicBool::new(false),
-        online_signs: AtomicU64::new(0),
+        online_activity_count: AtomicU64::new(0),
         preemptions: AtomicU64::new(0),
         holding: Mutex::default(),
     }
--- a/crates/pinerill-node/src/membership/fleet.rs
+++ b/crates/pinerill-node/src/membership/fleet.rs
@@ -221,7 +221,7 @@
     }
 
     /// A worker refused as leaving.
-    pub fn refused_leaving(&self, worker: &Worker) {
+    pub fn record_leaving_refusal(&self, worker: &Worker) {
         let first = worker.health.lock().sign_leaving();
         if first {
             self.note_leaving(worker);
@@ -230,13 +230,13 @@
     }
 
     /// An engine refused for want of a model that it was thought to hold.
-    pub fn refused_model(&self, engine: &Engine, model: &str) {
+    pub fn record_missing_model(&self, engine: &Engine, model: &str) {
         engine.forget_model(model);
         self.rebuild();
     }
 
     /// An engine refused because it only prefills now.
-    pub fn refused_role(&self, engine: &Engine) {
+    pub fn record_role_refusal(&self, engine: &Engine) {
         engine.only_prefills();
         self.rebuild();
     }
@@ -282,7 +282,7 @@
 }
 
 /// Takes in the load that the head of an engine's answer carries.
-pub fn note_load(fleet: &Fleet, engine: &Engine, response: &reqwest::Response) {
+pub fn record_response_load(fleet: &Fleet, engine: &Engine, response: &reqwest::Response) {
     let header = response.headers().get("X-Load");
     let text = header.and_then(|value| value.to_str().ok());
     if let Some(load) = text.and_then(parse_load_header) {
--- a/crates/pinerill-node/src/membership/mod.rs
+++ b/crates/pinerill-node/src/membership/mod.rs
@@ -13,10 +13,10 @@
 
 pub use directory::Directory;
 pub use engine::{Engine, Worker, WorkerEntry};
-pub use fleet::{note_load, Fleet};
+pub use fleet::{record_response_load, Fleet};
 pub use health::Health;
 pub use poll_pace::{PollPace, ROUNDS_LEFT_OUT_LIMIT};
-pub use probe::ProbeShell;
+pub use probe::WorkerPoller;
 pub use report::{EngineReport, Role, WorkerReport};
 pub use serving::{select_serving, Holding, Served};
 pub use view::{FleetView, ServiceEngines};
--- a/crates/pinerill-node/src/membership/probe.rs
+++ b/crates/pinerill-node/src/membership/probe.rs
@@ -47,13 +47,13 @@
 }
 
 /// Keeps one pair of polls for each worker of the fleet's view.
-pub struct ProbeShell {
+pub struct WorkerPoller {
     fleet: Arc<Fleet>,
     pause: Duration,
     running: HashMap<WorkerName, (WorkerEntry, DropGuard)>,
 }
 
-impl ProbeShell {
+impl WorkerPoller {
     /// Polls with this pause between two reports of a worker.
     pub fn new(fleet: Arc<Fleet>, pause: Duration) -> Self {
         Self {
--- a/crates/pinerill-node/src/online/delivery.rs
+++ b/crates/pinerill-node/src/online/delivery.rs
@@ -52,7 +52,7 @@
 
     /// Takes bytes in; the text of all their frames waits for [`Self::flush`].
     pub fn take(&mut self, bytes: &[u8], metrics: &Metrics) -> Progress {
-        let progress = self.reader.take(bytes);
+        let progress = self.reader.push_bytes(bytes);
         metrics.count_reading(&mut self.reader, &progress);
         progress
     }
--- a/crates/pinerill-node/src/online/execution/attempt.rs
+++ b/crates/pinerill-node/src/online/execution/attempt.rs
@@ -48,7 +48,7 @@
                 let failure = self.failure(&engine, AttemptEnd::NotRun, "connect", message);
                 return Err(AttemptStop::Failure(failure));
             }
-            Err(SendError::MaybeHeard(message)) => {
+            Err(SendError::PossiblyReceived(message)) => {
                 self.heard.push(engine.id.clone());
                 self.resume(&engine, "send", message).await?
             }
@@ -128,13 +128,15 @@
             return self.resume(engine, "send", refusal.message).await;
         }
         if refusal.is_leaving() {
-            self.context.fleet.refused_leaving(&engine.worker);
+            self.context.fleet.record_leaving_refusal(&engine.worker);
         }
         if refusal.lacks_model() {
-            self.context.fleet.refused_model(engine, &served.model);
+            self.context
+                .fleet
+                .record_missing_model(engine, &served.model);
         }
         if refusal.is_wrong_role() {
-            self.context.fleet.refused_role(engine);
+            self.context.fleet.record_role_refusal(engine);
         }
         let end = if refusal.not_started {
             AttemptEnd::NotRun
--- a/crates/pinerill-node/src/online/execution/reading.rs
+++ b/crates/pinerill-node/src/online/execution/reading.rs
@@ -9,7 +9,7 @@
 use super::failure::{AttemptStop, Interrupt};
 use super::Execution;
 use crate::engine::{error_chain, AttachError, CancelAnswer, Finish, Progress};
-use crate::membership::{note_load, Engine};
+use crate::membership::{record_response_load, Engine};
 use crate::online::retry::AttemptEnd;
 
 /// Silence of an engine after which its stream counts as cut.
@@ -53,7 +53,7 @@
         response: &mut Response,
     ) -> Result<Result<Finish, String>, AttemptStop> {
         self.delivery.start_connection();
-        note_load(&self.context.fleet, engine, response);
+        record_response_load(&self.context.fleet, engine, response);
         loop {
             let chunk = self
                 .guarded(tokio::time::timeout(STALL, response.chunk()))
--- a/crates/pinerill-node/src/online/prefill.rs
+++ b/crates/pinerill-node/src/online/prefill.rs
@@ -55,7 +55,7 @@
         return None;
     }
     let handle = engine.client.export_kv(&id, TRANSFER_TIMEOUT).await?;
-    let source = engine.source();
+    let source = engine.kv_source();
     let imported = decoder
         .client
         .import_kv(&handle, &source, TRANSFER_TIMEOUT)
--- a/crates/pinerill-node/src/run.rs
+++ b/crates/pinerill-node/src/run.rs
@@ -12,10 +12,10 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use crate::batch::BatchShell;
-use crate::configuration::WatchShell;
+use crate::configuration::ControlWatcher;
 use crate::gateway::caller_server;
 use crate::gauges;
-use crate::membership::ProbeShell;
+use crate::membership::WorkerPoller;
 use crate::node::Node;
 
 /// How long requests are refused before the listener closes, so that callers
@@ -106,7 +106,7 @@
 type Task = AbortOnDropHandle<()>;
 
 fn start_tasks(node: &Arc<Node>, counters_pause: Duration) -> Vec<Task> {
-    let watch = WatchShell {
+    let watch = ControlWatcher {
         api: node.api.clone(),
         configuration: node.configuration.clone(),
         fleet: node.fleet.clone(),
@@ -116,7 +116,7 @@
         incarnation: node.incarnation,
     };
     let pause = Duration::from_millis(node.settings.report_poll_ms);
-    let probes = ProbeShell::new(node.fleet.clone(), pause);
+    let probes = WorkerPoller::new(node.fleet.clone(), pause);
     vec![
         spawn(watch.run()),
         spawn(probes.run()),
--- a/crates/pinerill-node/tests/catalog.rs
+++ b/crates/pinerill-node/tests/catalog.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use pinerill_node::configuration::{Catalog, ConfigurationState, Taken};
+use pinerill_node::configuration::{Catalog, ConfigurationState, WatchOutcome};
 use pinerill_types::bundle::{Bundle, Model, Service, Tenant};
 use pinerill_types::{ServiceName, TenantName};
 use pinerill_wire::codec::EncodedBundle;
@@ -71,15 +71,15 @@
 #[test]
 fn a_key_that_moves_between_tenants_belongs_to_the_new_one() {
     let mut state = ConfigurationState::default();
-    state.take(0, &snapshot(&first()));
+    state.apply_response(0, &snapshot(&first()));
     let mut next = first();
     next.version = 2;
     next.tenants.insert("desk".into(), tenant(&["k1"]));
     next.tenants.insert("crew".into(), tenant(&["k2"]));
-    let taken = state.take(0, &change(&first(), &next));
+    let taken = state.apply_response(0, &change(&first(), &next));
     assert_eq!(
         taken,
-        Taken::Changed {
+        WatchOutcome::Changed {
             from: Some(1),
             to: 2
         }
@@ -91,11 +91,11 @@
 #[test]
 fn a_removed_tenant_is_not_let_in() {
     let mut state = ConfigurationState::default();
-    state.take(0, &snapshot(&first()));
+    state.apply_response(0, &snapshot(&first()));
     let mut next = first();
     next.version = 2;
     next.tenants.remove(&TenantName::from("desk"));
-    state.take(0, &change(&first(), &next));
+    state.apply_response(0, &change(&first(), &next));
     assert_eq!(owner(&state, "k1"), None);
 }
 
@@ -104,11 +104,11 @@
     let mut bundle = first();
     bundle.tenants.insert("crew".into(), tenant(&["k3"]));
     let mut state = ConfigurationState::default();
-    state.take(0, &snapshot(&bundle));
+    state.apply_response(0, &snapshot(&bundle));
     let mut next = bundle.clone();
     next.version = 2;
     next.tenants.insert("van".into(), tenant(&["k4"]));
-    state.take(0, &change(&bundle, &next));
+    state.apply_response(0, &change(&bundle, &next));
     let catalog = state.catalog().expect("a bundle is in force");
     let services = |key: &str| {
         let tenant = catalog.tenant_of_key(key).expect("a tenant");
@@ -121,11 +121,11 @@
 #[test]
 fn a_new_model_version_reaches_its_services() {
     let mut state = ConfigurationState::default();
-    state.take(0, &snapshot(&first()));
+    state.apply_response(0, &snapshot(&first()));
     let mut next = first();
     next.version = 2;
     next.models.insert("fanar-8b".into(), model("2"));
-    state.take(0, &change(&first(), &next));
+    state.apply_response(0, &change(&first(), &next));
     let catalog = state.catalog().expect("a bundle is in force");
     assert_eq!(engine_model(catalog), "fanar-8b@2");
     assert_eq!(catalog.digest, next.digest());
@@ -134,7 +134,7 @@
 #[test]
 fn a_change_with_another_result_is_left_out_and_a_snapshot_is_asked_for() {
     let mut state = ConfigurationState::default();
-    state.take(0, &snapshot(&first()));
+    state.apply_response(0, &snapshot(&first()));
     let mut next = first();
     next.version = 2;
     next.tenants.insert("crew".into(), tenant(&["k3"]));
@@ -142,10 +142,13 @@
     if let Some(BundleUpdate::Changes(changes)) = &mut wrong.bundle {
         changes[0].digest = first().digest();
     }
-    assert!(matches!(state.take(0, &wrong), Taken::Unfit(_)));
+    assert!(matches!(
+        state.apply_response(0, &wrong),
+        WatchOutcome::Unfit(_)
+    ));
     assert_eq!(owner(&state, "k3"), None);
     assert_eq!(state.watch_base(), (1, Default::default()));
-    state.take(0, &snapshot(&next));
+    state.apply_response(0, &snapshot(&next));
     assert_eq!(owner(&state, "k3"), Some("crew".into()));
     assert_eq!(state.watch_base(), (2, next.digest()));
 }
--- a/crates/pinerill-sim/src/bundle/watcher.rs
+++ b/crates/pinerill-sim/src/bundle/watcher.rs
@@ -1,7 +1,7 @@
 //! A node as far as bundles concern it: the pure configuration state under a
 //! watch, with its own clock.
 
-use pinerill_node::configuration::{ConfigurationState, Taken};
+use pinerill_node::configuration::{ConfigurationState, WatchOutcome};
 use pinerill_wire::message::WatchResponse;
 
 use super::service::{BundleQuery, BundleService, BundleView, WatchView};
@@ -133,16 +133,16 @@
         let now_ms = self.clock.local_ms(cluster.now_ms());
         let late = has_shell_defect(cluster.defect(), ShellDefect::LeaseFromArrival);
         let counted_from_ms = if late { now_ms } else { sent_ms };
-        let mut taken = self.state.take(counted_from_ms, response);
-        let older = matches!(taken, Taken::Older(_));
+        let mut taken = self.state.apply_response(counted_from_ms, response);
+        let older = matches!(taken, WatchOutcome::Outdated(_));
         if older && has_shell_defect(cluster.defect(), ShellDefect::TakeOlderVersion) {
             self.state = ConfigurationState::default();
             let mut whole = response.clone();
             whole.confirmed = true;
-            taken = self.state.take(counted_from_ms, &whole);
+            taken = self.state.apply_response(counted_from_ms, &whole);
         }
         let client = self.client.0;
-        if let Taken::Changed { from, to } = &taken {
+        if let WatchOutcome::Changed { from, to } = &taken {
             cluster.note(|| format!("node {client} goes from {from:?} to {to}"));
         }
         self.check_never_lower(cluster);
