--- a/crates/pinerill-node/src/configuration/catalog.rs
+++ b/crates/pinerill-node/src/configuration/catalog.rs
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     /// When an entry is malformed or not of its section's type.
-    pub fn read(encoded: &EncodedBundle) -> Result<(Self, EntryIndex), CodecError> {
+    pub fn decode(encoded: &EncodedBundle) -> Result<(Self, EntryIndex), CodecError> {
         let mut core = Bundle {
             version: encoded.version(),
             ..Bundle::default()
@@ -55,13 +55,13 @@
         let mut index = EntryIndex::build(encoded.version());
         encoded.for_each_entry(|entry| {
             index.add(&entry)?;
-            take_entry(&mut core, &mut tenants, &entry).map_err(anyhow::Error::from)
+            insert_entry(&mut core, &mut tenants, &entry).map_err(anyhow::Error::from)
         })?;
         let index = index.finish();
         let catalog = Self {
             version: encoded.version(),
             digest: index.digest(),
-            services: Arc::new(plans(&core)),
+            services: Arc::new(service_plans(&core)),
             core: Arc::new(core),
             tenants,
         };
@@ -85,12 +85,12 @@
             }
         }
         for entry in &change.set {
-            take_entry(&mut core, &mut next.tenants, entry)?;
+            insert_entry(&mut core, &mut next.tenants, entry)?;
         }
         let keys = change.removed.iter();
         let mut keys = keys.chain(change.set.iter().map(|entry| &entry.key));
         if keys.any(|key| key.kind != EntryKind::Tenant) {
-            next.services = Arc::new(plans(&core));
+            next.services = Arc::new(service_plans(&core));
         }
         next.core = Arc::new(core);
         Ok(next)
@@ -108,7 +108,7 @@
 
     /// The tenant that a bearer key belongs to.
     pub fn tenant_of_key(&self, key: &str) -> Option<&TenantPlan> {
-        self.tenants.of_key(key)
+        self.tenants.by_bearer_key(key)
     }
 
     /// A service by its name.
@@ -122,7 +122,7 @@
     }
 }
 
-fn take_entry(
+fn insert_entry(
     core: &mut Bundle,
     tenants: &mut TenantTable,
     entry: &Entry,
@@ -139,14 +139,14 @@
     TenantName::from(key.name.as_str())
 }
 
-fn plans(bundle: &Bundle) -> HashMap<ServiceName, Arc<ServicePlan>> {
+fn service_plans(bundle: &Bundle) -> HashMap<ServiceName, Arc<ServicePlan>> {
     let services = bundle.services.iter();
     services
-        .map(|(name, service)| (name.clone(), Arc::new(plan(bundle, name, service))))
+        .map(|(name, service)| (name.clone(), Arc::new(service_plan(bundle, name, service))))
         .collect()
 }
 
-fn plan(bundle: &Bundle, name: &ServiceName, service: &Service) -> ServicePlan {
+fn service_plan(bundle: &Bundle, name: &ServiceName, service: &Service) -> ServicePlan {
     let model = bundle.models.get(&service.model);
     let version = model.map_or("", |model| model.version.as_str());
     let adapter = service.adapter.as_ref().map(|adapter| {
--- a/crates/pinerill-node/src/configuration/state.rs
+++ b/crates/pinerill-node/src/configuration/state.rs
@@ -26,7 +26,7 @@
     /// The answer is older than what is in force, and was ignored.
     Outdated(u64),
     /// The update does not fit; the next watch asks for a snapshot.
-    Unfit(String),
+    Invalid(String),
 }
 
 /// The bundle in force and its lease.
@@ -68,37 +68,37 @@
         }
         let taken = match &response.bundle {
             None => WatchOutcome::Unchanged,
-            Some(update) => self.apply(update, response),
+            Some(update) => self.apply_update(update, response),
         };
-        self.renew(sent_ms, response);
+        self.renew_lease(sent_ms, response);
         taken
     }
 
-    fn apply(&mut self, update: &BundleUpdate, response: &WatchResponse) -> WatchOutcome {
+    fn apply_update(&mut self, update: &BundleUpdate, response: &WatchResponse) -> WatchOutcome {
         let current = self.catalog.as_ref().map(|one| one.version);
         if current.is_none() && !response.confirmed {
             return WatchOutcome::Unchanged;
         }
         match update {
-            BundleUpdate::Snapshot(bundle) => self.take_snapshot(current, bundle),
-            BundleUpdate::Changes(changes) => self.take_changes(current, changes),
+            BundleUpdate::Snapshot(bundle) => self.apply_snapshot(current, bundle),
+            BundleUpdate::Changes(changes) => self.apply_changes(current, changes),
         }
     }
 
-    fn take_snapshot(&mut self, current: Option<u64>, bundle: &EncodedBundle) -> WatchOutcome {
+    fn apply_snapshot(&mut self, current: Option<u64>, bundle: &EncodedBundle) -> WatchOutcome {
         let to = bundle.version();
         if current.is_some_and(|version| to < version) {
             return WatchOutcome::Outdated(to);
         }
-        let (catalog, index) = match Catalog::read(bundle) {
+        let (catalog, index) = match Catalog::decode(bundle) {
             Ok(read) => read,
-            Err(error) => return WatchOutcome::Unfit(error.to_string()),
+            Err(error) => return WatchOutcome::Invalid(error.to_string()),
         };
         let held = self.catalog.as_ref();
         if current == Some(to) && held.is_some_and(|held| held.digest != catalog.digest) {
             // One version has one content: another content under it is a
             // fault of the sender and changes nothing here.
-            return WatchOutcome::Unfit("another bundle under the version in force".to_owned());
+            return WatchOutcome::Invalid("another bundle under the version in force".to_owned());
         }
         self.index = Some(index);
         if current == Some(to) {
@@ -108,8 +108,8 @@
         WatchOutcome::Changed { from: current, to }
     }
 
-    fn take_changes(&mut self, current: Option<u64>, changes: &[BundleChange]) -> WatchOutcome {
-        match self.updated(changes) {
+    fn apply_changes(&mut self, current: Option<u64>, changes: &[BundleChange]) -> WatchOutcome {
+        match self.catalog_with_changes(changes) {
             Ok(next) if current == Some(next.version) => WatchOutcome::Unchanged,
             Ok(next) => {
                 let to = next.version;
@@ -118,13 +118,13 @@
             }
             Err(message) => {
                 self.index = None;
-                WatchOutcome::Unfit(message)
+                WatchOutcome::Invalid(message)
             }
         }
     }
 
     /// Only changes whose result has the digest that they name are taken.
-    fn updated(&mut self, changes: &[BundleChange]) -> Result<Arc<Catalog>, String> {
+    fn catalog_with_changes(&mut self, changes: &[BundleChange]) -> Result<Arc<Catalog>, String> {
         let mut catalog = self.catalog.clone().ok_or("changes without a base")?;
         let index = self.index.as_mut().ok_or("changes without a base")?;
         for change in changes {
@@ -137,7 +137,7 @@
 
     /// The lease counts from when the confirmed watch was sent, and only when
     /// the version it confirmed is the one in force here.
-    fn renew(&mut self, sent_ms: u64, response: &WatchResponse) {
+    fn renew_lease(&mut self, sent_ms: u64, response: &WatchResponse) {
         let Some(catalog) = &self.catalog else {
             return;
         };
--- a/crates/pinerill-node/src/configuration/tenants.rs
+++ b/crates/pinerill-node/src/configuration/tenants.rs
@@ -77,7 +77,7 @@
     }
 
     /// The tenant that a bearer key belongs to.
-    pub(super) fn of_key(&self, key: &str) -> Option<&TenantPlan> {
+    pub(super) fn by_bearer_key(&self, key: &str) -> Option<&TenantPlan> {
         let hash = KeyHash::of(key.as_bytes());
         self.by_key.get(&hash).map(Arc::as_ref)
     }
@@ -88,7 +88,7 @@
         let plan = Arc::new(TenantPlan {
             name,
             key_hashes: key_hashes(&tenant.key_hashes),
-            services: self.shared_services(tenant.services),
+            services: self.intern_services(tenant.services),
             requests_per_second: tenant.requests_per_second,
             burst: tenant.burst,
             concurrent_requests: tenant.concurrent_requests,
@@ -114,20 +114,20 @@
         }
     }
 
-    fn shared_services(&mut self, services: BTreeSet<ServiceName>) -> Arc<BTreeSet<ServiceName>> {
+    fn intern_services(&mut self, services: BTreeSet<ServiceName>) -> Arc<BTreeSet<ServiceName>> {
         let services = Arc::new(services);
         if let Some(same) = self.service_sets.get(&services) {
             return same.clone();
         }
         if self.service_sets.len() > self.by_name.len() {
-            self.forget_unused_services();
+            self.drop_unused_service_sets();
         }
         self.service_sets.insert(services.clone());
         services
     }
 
     /// Sets that no tenant has any more would otherwise stay for ever.
-    fn forget_unused_services(&mut self) {
+    fn drop_unused_service_sets(&mut self) {
         let used = self.by_name.iter().map(|tenant| tenant.0.services.clone());
         self.service_sets = used.collect();
     }
--- a/crates/pinerill-node/src/configuration/watch.rs
+++ b/crates/pinerill-node/src/configuration/watch.rs
@@ -80,13 +80,13 @@
             let answer = tokio::select! {
                 biased;
                 answer = call => answer,
-                () = self.fleet.leaving_seen.notified() => continue,
+                () = self.fleet.watch_interrupt.notified() => continue,
             };
-            let taken = answer.and_then(|response| self.take(sent_ms, response));
+            let taken = answer.and_then(|response| self.apply_watch(sent_ms, response));
             if taken.is_ok() {
-                self.fleet.leaving_delivered(&signs);
+                self.fleet.confirm_leaving_signs(&signs);
             }
-            self.note(&taken, &mut failing);
+            self.record_outcome(&taken, &mut failing);
             let pause = if taken.is_ok() {
                 WATCH_PAUSE
             } else {
@@ -96,7 +96,7 @@
         }
     }
 
-    fn note(&self, taken: &Result<(), CallError>, failing: &mut bool) {
+    fn record_outcome(&self, taken: &Result<(), CallError>, failing: &mut bool) {
         match taken {
             Ok(()) if *failing => log::info!("watch is answered again"),
             Err(error) if !*failing => log::warn!("watch fails: {error}"),
@@ -123,20 +123,20 @@
             zones: self.fleet.zones().to_vec(),
             directory_epoch: epoch,
             directory_revision: revision,
-            leaving: self.fleet.leaving_signs(),
+            leaving: self.fleet.pending_leaving_signs(),
             wait_ms: WATCH_WAIT_MS,
         }
     }
 
-    fn take(&self, sent_ms: u64, response: Response) -> Result<(), CallError> {
+    fn apply_watch(&self, sent_ms: u64, response: Response) -> Result<(), CallError> {
         let watch = match response {
             Response::Watch(watch) => watch,
             Response::Refused(refusal) => return Err(refusal.into()),
-            _ => return Err(unfit("an answer of another kind")),
+            _ => return Err(invalid_watch("an answer of another kind")),
         };
-        self.take_bundle(sent_ms, &watch)?;
+        self.apply_bundle(sent_ms, &watch)?;
         if let Some(update) = &watch.directory {
-            self.fleet.take_directory(update);
+            self.fleet.apply_directory_update(update);
             self.api.learn_groups(&update.groups);
             self.groups.take(update);
         }
@@ -146,7 +146,7 @@
         Ok(())
     }
 
-    fn take_bundle(&self, sent_ms: u64, watch: &WatchResponse) -> Result<(), CallError> {
+    fn apply_bundle(&self, sent_ms: u64, watch: &WatchResponse) -> Result<(), CallError> {
         let taken = self
             .configuration
             .state
@@ -159,17 +159,19 @@
                 log::info!("bundle {to} is in force, before it {from}");
                 self.metrics.bundle_version.set(to as i64);
                 if let Some(catalog) = self.configuration.catalog() {
-                    self.fleet.take_catalog(catalog);
+                    self.fleet.set_catalog(catalog);
                 }
                 Ok(())
             }
-            WatchOutcome::Outdated(version) => Err(unfit(&format!("version {version} is older"))),
-            WatchOutcome::Unfit(message) => Err(unfit(&message)),
+            WatchOutcome::Outdated(version) => {
+                Err(invalid_watch(&format!("version {version} is older")))
+            }
+            WatchOutcome::Invalid(message) => Err(invalid_watch(&message)),
         }
     }
 }
 
-fn unfit(message: &str) -> CallError {
+fn invalid_watch(message: &str) -> CallError {
     CallError {
         kind: pinerill_wire::api::CallErrorKind::Unknown,
         step: "take watch".to_owned(),
--- a/crates/pinerill-node/src/engine/answer_reader.rs
+++ b/crates/pinerill-node/src/engine/answer_reader.rs
@@ -1,6 +1,6 @@
 //! From an engine's bytes to the text of one answer. Pure.
 
-use super::assembly::{Accepted, Assembly, Finish};
+use super::assembly::{Assembly, Finish, FrameOutcome};
 use super::frame::Frame;
 use super::sse::SseParser;
 
@@ -89,7 +89,7 @@
             let Ok(frame) = serde_json::from_slice::<Frame<'_>>(&data) else {
                 return Progress::Broken("an event is not a frame");
             };
-            match self.take_frame(&frame) {
+            match self.accept_frame(&frame) {
                 Progress::Continues => {}
                 other => return other,
             }
@@ -97,18 +97,18 @@
         Progress::Continues
     }
 
-    fn take_frame(&mut self, frame: &Frame<'_>) -> Progress {
+    fn accept_frame(&mut self, frame: &Frame<'_>) -> Progress {
         match self.assembly.accept(frame) {
-            Accepted::Text => self.text.push_str(&frame.text),
-            Accepted::Finished(finish) => {
+            FrameOutcome::Text => self.text.push_str(&frame.text),
+            FrameOutcome::Finished(finish) => {
                 self.text.push_str(&frame.text);
                 return Progress::Finished(finish);
             }
-            Accepted::Cancelled => return Progress::Cancelled,
-            Accepted::Gap => return Progress::Broken("tokens are missing"),
-            Accepted::WrongDigest => return Progress::WrongDigest,
-            Accepted::Foreign => self.dropped.foreign += 1,
-            Accepted::Late => self.dropped.late += 1,
+            FrameOutcome::Cancelled => return Progress::Cancelled,
+            FrameOutcome::Gap => return Progress::Broken("tokens are missing"),
+            FrameOutcome::WrongDigest => return Progress::WrongDigest,
+            FrameOutcome::Foreign => self.dropped.foreign += 1,
+            FrameOutcome::Duplicate => self.dropped.late += 1,
         }
         Progress::Continues
     }
--- a/crates/pinerill-node/src/engine/assembly.rs
+++ b/crates/pinerill-node/src/engine/assembly.rs
@@ -21,7 +21,7 @@
 
 /// What became of a frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Accepted {
+pub enum FrameOutcome {
     /// Its text comes next in the answer.
     Text,
     /// It is the last one, and the answer is whole.
@@ -31,7 +31,7 @@
     /// It belongs to another request.
     Foreign,
     /// It was delivered already.
-    Late,
+    Duplicate,
     /// Tokens before it are missing: attach again.
     Gap,
     /// The digest over the whole answer does not fit.
@@ -62,47 +62,47 @@
     }
 
     /// Takes one frame in.
-    pub fn accept(&mut self, frame: &Frame<'_>) -> Accepted {
+    pub fn accept(&mut self, frame: &Frame<'_>) -> FrameOutcome {
         if frame.request_id != self.request_id {
-            return Accepted::Foreign;
+            return FrameOutcome::Foreign;
         }
         let end = frame.offset.saturating_add(frame.tokens);
         if frame.offset > self.next_offset {
-            return Accepted::Gap;
+            return FrameOutcome::Gap;
         }
         if frame.offset < self.next_offset {
-            return self.accept_late(end, frame);
+            return self.reject_overlapping(end, frame);
         }
         self.next_offset = end;
         self.hasher.update(frame.text.as_bytes());
         match &frame.finish_reason {
-            None if frame.tokens == 0 => Accepted::Late,
-            None => Accepted::Text,
+            None if frame.tokens == 0 => FrameOutcome::Duplicate,
+            None => FrameOutcome::Text,
             Some(reason) => self.finish(reason, frame),
         }
     }
 
-    /// A frame that starts before what is wanted: whole in the past it is
+    /// A frame that starts before what is wanted: whole in the fully_delivered it is
     /// dropped, otherwise the wanted part can't be split off.
-    fn accept_late(&self, end: u32, frame: &Frame<'_>) -> Accepted {
-        let past = end <= self.next_offset && frame.finish_reason.is_none();
-        if past {
-            return Accepted::Late;
+    fn reject_overlapping(&self, end: u32, frame: &Frame<'_>) -> FrameOutcome {
+        let fully_delivered = end <= self.next_offset && frame.finish_reason.is_none();
+        if fully_delivered {
+            return FrameOutcome::Duplicate;
         }
-        Accepted::Gap
+        FrameOutcome::Gap
     }
 
-    fn finish(&self, reason: &str, frame: &Frame<'_>) -> Accepted {
+    fn finish(&self, reason: &str, frame: &Frame<'_>) -> FrameOutcome {
         if reason == "cancelled" {
-            return Accepted::Cancelled;
+            return FrameOutcome::Cancelled;
         }
         let digest = hex::encode(self.hasher.clone().finalize());
         if frame.digest.as_deref() != Some(digest.as_str()) {
-            return Accepted::WrongDigest;
+            return FrameOutcome::WrongDigest;
         }
         let mut usage = frame.usage.unwrap_or_default();
         usage.completion_tokens = self.next_offset;
-        Accepted::Finished(Finish {
+        FrameOutcome::Finished(Finish {
             reason: reason.to_owned(),
             usage,
             digest: Some(digest),
--- a/crates/pinerill-node/src/engine/client.rs
+++ b/crates/pinerill-node/src/engine/client.rs
@@ -28,7 +28,7 @@
 }
 
 impl Priority {
-    fn word(self) -> &'static str {
+    fn header_value(self) -> &'static str {
         match self {
             Self::Online => "online",
             Self::Batch => "batch",
@@ -156,7 +156,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct StateBody {
+struct StateResponse {
     state: String,
 }
 
@@ -198,7 +198,7 @@
             .post(format!("{}{}", self.base, call.path))
             .header("Content-Type", "application/json")
             .header("X-Request-Id", call.request_id)
-            .header("X-Priority", call.priority.word())
+            .header("X-Priority", call.priority.header_value())
             .body(call.body);
         if let Some(adapter) = call.adapter {
             request = request.header("X-Adapter", adapter);
@@ -249,15 +249,15 @@
 
     /// Stops a batch request, which keeps its place.
     pub async fn pause(&self, request_id: &str) -> PauseAnswer {
-        self.pause_call(request_id, "pause").await
+        self.set_paused(request_id, "pause").await
     }
 
     /// Lets a paused request go on.
     pub async fn unpause(&self, request_id: &str) -> PauseAnswer {
-        self.pause_call(request_id, "unpause").await
+        self.set_paused(request_id, "unpause").await
     }
 
-    async fn pause_call(&self, request_id: &str, verb: &str) -> PauseAnswer {
+    async fn set_paused(&self, request_id: &str, verb: &str) -> PauseAnswer {
         match self.post_state(request_id, verb, PAUSE_TIMEOUT).await {
             Some(state) if state == "unknown" => PauseAnswer::UnknownRequest,
             Some(_) => PauseAnswer::Done,
@@ -269,7 +269,7 @@
         let url = format!("{}/v1/requests/{request_id}/{verb}", self.base);
         let response = self.http.post(url).timeout(timeout).send().await.ok()?;
         let body = response.bytes().await.ok()?;
-        let state: StateBody = serde_json::from_slice(&body).ok()?;
+        let state: StateResponse = serde_json::from_slice(&body).ok()?;
         Some(state.state)
     }
 
@@ -303,10 +303,10 @@
     let fields = serde_json::from_slice::<ErrorBody>(&body)
         .unwrap_or_default()
         .error;
-    let promised = fields.started == Some(false);
+    let reported_not_started = fields.started == Some(false);
     Ok(Refusal {
         status,
-        not_started: promised && fields.code != DUPLICATE_REQUEST,
+        not_started: reported_not_started && fields.code != DUPLICATE_REQUEST,
         code: fields.code,
         message: fields.message,
     })
--- a/crates/pinerill-node/src/engine/mod.rs
+++ b/crates/pinerill-node/src/engine/mod.rs
@@ -7,7 +7,7 @@
 mod sse;
 
 pub use answer_reader::{AnswerReader, DroppedFrames, Progress};
-pub use assembly::{Accepted, Assembly, Finish};
+pub use assembly::{Assembly, Finish, FrameOutcome};
 pub use client::{
     error_chain, worker_client, AttachError, CancelAnswer, EngineCall, EngineClient, PauseAnswer,
     Priority, Refusal, SendError, SendOutcome,
--- a/crates/pinerill-node/src/engine/sse.rs
+++ b/crates/pinerill-node/src/engine/sse.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 pub struct SseParser {
     buffer: BytesMut,
-    searched: usize,
+    scanned: usize,
 }
 
 impl SseParser {
@@ -34,13 +34,13 @@
     /// The data of the next line that holds some, if a whole one is there.
     pub fn next_data(&mut self) -> Option<BytesMut> {
         loop {
-            let rest = &self.buffer[self.searched..];
+            let rest = &self.buffer[self.scanned..];
             let Some(at) = rest.iter().position(|byte| *byte == b'\n') else {
-                self.searched = self.buffer.len();
+                self.scanned = self.buffer.len();
                 return None;
             };
-            let mut line = self.buffer.split_to(self.searched + at + 1);
-            self.searched = 0;
+            let mut line = self.buffer.split_to(self.scanned + at + 1);
+            self.scanned = 0;
             if !line.starts_with(DATA_PREFIX) {
                 continue;
             }
--- a/crates/pinerill-node/src/membership/directory.rs
+++ b/crates/pinerill-node/src/membership/directory.rs
@@ -1,11 +1,12 @@
-//! Workers and nodes as control machines list them. Pure.
+//! Local copy of the workers and nodes that the control machines list. Performs no
+//! I/O.
 
 use std::collections::BTreeMap;
 
 use pinerill_types::{NodeName, WorkerName};
 use pinerill_wire::message::{DirectoryUpdate, NodeRecord, WorkerRecord};
 
-/// The directory as of one revision.
+/// Workers and nodes as of one revision of the directory.
 #[derive(Debug, Clone, Default)]
 pub struct Directory {
     epoch: u64,
@@ -15,24 +16,25 @@
 }
 
 impl Directory {
-    /// Epoch and revision, for the next watch.
+    /// Returns epoch and revision, from which the next watch continues.
     pub fn position(&self) -> (u64, u64) {
         (self.epoch, self.revision)
     }
 
-    /// Workers by name.
+    /// Returns the listed workers by name.
     pub fn workers(&self) -> &BTreeMap<WorkerName, WorkerRecord> {
         &self.workers
     }
 
-    /// Nodes by name.
+    /// Returns the listed nodes by name.
     pub fn nodes(&self) -> &BTreeMap<NodeName, NodeRecord> {
         &self.nodes
     }
 
-    /// Takes an update in. An older one of the same epoch is ignored; one of
-    /// another epoch counts only when it is full.
-    pub fn take(&mut self, update: &DirectoryUpdate) -> bool {
+    /// Applies an update. Returns false and changes nothing if it is older than
+    /// the current revision of the same epoch, or if it belongs to another epoch
+    /// and is not full.
+    pub fn apply(&mut self, update: &DirectoryUpdate) -> bool {
         let same_epoch = update.epoch == self.epoch;
         let older = same_epoch && update.revision < self.revision;
         if older || (!same_epoch && !update.full) {
--- a/crates/pinerill-node/src/membership/engine.rs
+++ b/crates/pinerill-node/src/membership/engine.rs
@@ -1,4 +1,5 @@
-//! Workers and engines with what is known of each.
+//! Workers and engines with the known state of each: health, load and loaded
+//! models. Requests, the batch runner and the poller share these objects.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -10,113 +11,119 @@
 
 use super::health::Health;
 use super::report::{EngineReport, Role};
-use super::serving::{Holding, Served};
+use super::serving::{EngineCapabilities, Served};
 use crate::configuration::ServicePlan;
 use crate::engine::{worker_client, EngineClient, LoadHeader};
 use crate::metrics::Metrics;
 use crate::routing::{Candidate, LoadEstimate};
 
-/// One worker that this node uses.
+/// A worker that this node uses, shared by its engines.
 #[derive(Debug)]
 pub struct Worker {
-    /// Its name.
+    /// Name in the directory.
     pub name: WorkerName,
-    /// Where it listens.
+    /// Address of its HTTP server.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone listed in the directory.
     pub zone: ZoneName,
-    /// 0 for the node's own zone, 1 for the nearest neighbour, ….
+    /// Distance of the zone: 0 for the node's own zone, 1 for the nearest
+    /// neighbour zone, and so on.
     pub zone_rank: u32,
-    /// Its pooled connections.
+    /// HTTP client with the connection pool of this worker.
     pub http: reqwest::Client,
-    /// Whether it may get new work.
+    /// Health state, which decides whether the worker may get new work.
     pub health: Mutex<Health>,
-    /// This node drives its batch.
+    /// Whether this node schedules batch work on the worker.
     pub driven: AtomicBool,
-    /// Answers of its engines that began so far.
+    /// Number of responses with a load header received from its engines so far.
     pub answers: AtomicU64,
 }
 
 impl Worker {
-    /// Whether it may get new work now.
+    /// Returns whether the worker is neither leaving nor suspected at `now_ms`.
     pub fn accepts_work(&self, now_ms: u64) -> bool {
         let health = self.health.lock();
         !health.is_leaving() && !health.is_suspected(now_ms)
     }
 
-    /// Whether it is leaving.
+    /// Returns whether the worker or the directory says that it is leaving.
     pub fn is_leaving(&self) -> bool {
         self.health.lock().is_leaving()
     }
 
-    /// Whether this node drives its batch.
+    /// Returns whether this node schedules batch work on the worker.
     pub fn is_driven(&self) -> bool {
         self.driven.load(Ordering::Relaxed)
     }
 }
 
-/// What a report told anew of an engine.
+/// Changes of an engine that a load report revealed.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct ReportNews {
-    /// Other nodes have more online requests there than before.
+pub(super) struct ReportChanges {
+    /// Other nodes run more online requests on the engine than before.
     pub(super) more_online: bool,
-    /// It holds other models or adapters, or has another role.
-    pub(super) holds_other: bool,
+    /// The loaded models or adapters, or the role, differ from before.
+    pub(super) capabilities_changed: bool,
 }
 
-/// One engine that this node uses.
+/// An engine that this node uses.
 #[derive(Debug)]
 pub struct Engine {
-    /// Its full name.
+    /// Worker name and number of the engine.
     pub id: EngineId,
-    /// Its worker.
+    /// The worker that runs this engine.
     pub worker: Arc<Worker>,
-    /// Calls to it.
+    /// HTTP client for the engine's API.
     pub client: EngineClient,
-    /// What is known of its load.
+    /// Load estimate from reports and load headers.
     pub load: Mutex<LoadEstimate>,
-    /// Online requests of this node there.
+    /// Number of this node's online requests on the engine.
     pub online: AtomicU32,
-    /// Prompt tokens of this node's online requests that it has still to
-    /// prefill, as far as known.
+    /// Estimated prompt tokens of this node's online requests that the engine
+    /// still has to prefill.
     pub pending_tokens: AtomicU32,
-    /// Batch work of a service that it serves waits or runs.
+    /// Whether batch work of a service on this engine is queued or running.
     pub shared_with_batch: AtomicBool,
-    /// Signs that online work arrived there so far.
+    /// Number of times that new online work was detected on the engine.
     pub online_activity_count: AtomicU64,
-    /// Preemptions that it reported so far.
+    /// Number of preemptions in the reports so far.
     pub preemptions: AtomicU64,
-    holding: Mutex<Holding>,
+    capabilities: Mutex<EngineCapabilities>,
 }
 
 impl Engine {
-    /// Address and path, as other engines import from it.
+    /// Returns `ip:port/engines/e`, the source that another engine names to
+    /// import a KV cache from this one.
     pub fn kv_source(&self) -> String {
         format!("{}/engines/{}", self.worker.address, self.id.engine)
     }
 
-    /// The version that it holds of what a service needs: that of the bundle,
-    /// or another one.
+    /// Returns the versions of the service's model and adapter that the engine
+    /// has loaded, which may differ from those of the bundle. None if it lacks
+    /// either one.
     pub fn serves(&self, plan: &ServicePlan) -> Option<Served> {
-        self.holding.lock().serves(plan)
+        self.capabilities.lock().serves(plan)
     }
 
-    /// It refused for want of this model; the next report says what it holds.
-    pub(super) fn forget_model(&self, model: &str) {
-        self.holding.lock().models.retain(|held| held != model);
+    /// Removes a model that the engine refused as not loaded. The next report
+    /// replaces the list.
+    pub(super) fn remove_model(&self, model: &str) {
+        self.capabilities.lock().models.retain(|held| held != model);
     }
 
-    /// It refused to decode; the next report says which role it has.
-    pub(super) fn only_prefills(&self) {
-        self.holding.lock().role = Role::Prefill;
+    /// Sets the role to prefill only after the engine refused to decode. The
+    /// next report replaces the role.
+    pub(super) fn mark_prefill_only(&self) {
+        self.capabilities.lock().role = Role::Prefill;
     }
 
-    /// Its role.
+    /// Returns the last known role; `Both` before the first report.
     pub fn role(&self) -> Role {
-        self.holding.lock().role
+        self.capabilities.lock().role
     }
 
-    /// The engine as the routing choice sees it.
+    /// Returns the engine's state as input for routing. `cached_tokens` is the
+    /// number of the request's prompt tokens expected in the engine's cache.
     pub fn candidate(&self, now_ms: u64, cached_tokens: u32) -> Candidate {
         let load = self.load.lock();
         let own = self.online.load(Ordering::Relaxed);
@@ -132,9 +139,9 @@
         }
     }
 
-    /// The head of an answer carried the load. Returns whether it is a sign of
-    /// online work.
-    pub(super) fn take_load_header(&self, now_ms: u64, header: &LoadHeader) -> bool {
+    /// Updates the load estimate from the header of a response. Returns whether
+    /// other nodes run more online requests than before.
+    pub(super) fn apply_load_header(&self, now_ms: u64, header: &LoadHeader) -> bool {
         self.worker.answers.fetch_add(1, Ordering::Relaxed);
         let own = self.online.load(Ordering::Relaxed);
         let more = self.load.lock().header(now_ms, header, own);
@@ -144,51 +151,57 @@
         more
     }
 
-    /// Whether batch work of its services waits. It shares its slots with batch
-    /// then, and as long as the last report says that some runs.
+    /// Updates whether online requests share the engine's slots with batch
+    /// work. That holds if batch work of its services is queued (`waits`) or
+    /// was running at the last report.
     pub(crate) fn update_shared_with_batch(&self, waits: bool) {
         let shared = waits || self.load.lock().batch_running() > 0;
         self.shared_with_batch.store(shared, Ordering::Relaxed);
     }
 
-    /// Online work was seen here.
+    /// Counts the detection of new online work on the engine.
     pub fn count_online_activity(&self) {
         self.online_activity_count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Takes a report in.
-    pub(super) fn take_report(
+    /// Updates load, preemptions and capabilities from a load report and returns
+    /// the changes that callers react to.
+    pub(super) fn apply_report(
         &self,
         now_ms: u64,
         report: &EngineReport,
         metrics: &Metrics,
-    ) -> ReportNews {
+    ) -> ReportChanges {
         let own = self.online.load(Ordering::Relaxed);
-        let news = self.load.lock().report(now_ms, report, own);
-        metrics.preemptions.inc_by(news.preemptions);
+        let changes = self.load.lock().report(now_ms, report, own);
+        metrics.preemptions.inc_by(changes.preemptions);
         self.preemptions
-            .fetch_add(news.preemptions, Ordering::Relaxed);
-        if news.more_online {
+            .fetch_add(changes.preemptions, Ordering::Relaxed);
+        if changes.more_online {
             self.count_online_activity();
         }
-        ReportNews {
-            more_online: news.more_online,
-            holds_other: self.holding.lock().take(report),
+        ReportChanges {
+            more_online: changes.more_online,
+            capabilities_changed: self.capabilities.lock().update(report),
         }
     }
 }
 
-/// A worker with its engines.
+/// A worker and all of its engines.
 #[derive(Debug, Clone)]
 pub struct WorkerEntry {
-    /// The worker.
+    /// State shared by the engines.
     pub worker: Arc<Worker>,
-    /// Its engines by number.
+    /// Engines, indexed by their number at the worker.
     pub engines: Vec<Arc<Engine>>,
 }
 
 impl WorkerEntry {
-    /// A worker of the directory, of which nothing else is known.
+    /// Creates a worker and its engines from a directory record, with no reports
+    /// yet.
+    ///
+    /// # Errors
+    /// When the HTTP client can't be built.
     pub(super) fn new(zone_rank: u32, record: &WorkerRecord) -> reqwest::Result<Self> {
         let worker = Arc::new(Worker {
             name: record.name.clone(),
@@ -222,6 +235,6 @@
         shared_with_batch: AtomicBool::new(false),
         online_activity_count: AtomicU64::new(0),
         preemptions: AtomicU64::new(0),
-        holding: Mutex::default(),
+        capabilities: Mutex::default(),
     }
 }
--- a/crates/pinerill-node/src/membership/fleet.rs
+++ b/crates/pinerill-node/src/membership/fleet.rs
@@ -1,4 +1,5 @@
-//! The workers and engines that this node uses, shared by all its parts.
+//! The workers and engines that this node uses, shared by request handling,
+//! batch, the control watch and the worker poller.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -20,7 +21,9 @@
 use crate::metrics::Metrics;
 use crate::routing::{rendezvous_owner, select_workers, PrefixHints};
 
-/// The workers that this node uses.
+/// Selects the workers that this node uses and publishes them as a
+/// [`FleetView`], which is rebuilt when the directory, the bundle or the state
+/// of a worker changes.
 #[derive(Debug)]
 pub struct Fleet {
     node: NodeName,
@@ -32,20 +35,21 @@
     draining: AtomicBool,
     metrics: Arc<Metrics>,
     leaving: Mutex<BTreeSet<LeavingSign>>,
-    /// Prefixes that engines reported as cached.
+    /// Prompt prefixes that engines reported as cached.
     pub hints: Mutex<PrefixHints>,
-    /// A sign of leaving waits for control.
-    pub leaving_seen: Notify,
-    /// Engines or their load changed.
+    /// Interrupts the open control watch so that a newly leaving worker or the
+    /// draining of this node is reported at once.
+    pub watch_interrupt: Notify,
+    /// Notifies all waiters that engines or their load changed.
     pub changed: Notify,
-    /// Other workers are used now.
+    /// Notifies the worker poller that the view was rebuilt.
     pub members_changed: Notify,
-    /// There may be a sign of online work; the batch side waits for it.
+    /// Wakes the batch scheduler when online work may have arrived.
     pub online_arrived: Notify,
 }
 
 impl Fleet {
-    /// An empty fleet.
+    /// Creates a fleet without workers; they come with the first directory.
     pub fn new(settings: &NodeSettings, metrics: Arc<Metrics>) -> Self {
         let mut zones = vec![settings.zone.clone()];
         zones.extend(settings.neighbours.iter().cloned());
@@ -60,49 +64,51 @@
             metrics,
             leaving: Mutex::default(),
             hints: Mutex::default(),
-            leaving_seen: Notify::new(),
+            watch_interrupt: Notify::new(),
             changed: Notify::new(),
             members_changed: Notify::new(),
             online_arrived: Notify::new(),
         }
     }
 
-    /// Zones whose workers it uses, nearest first.
+    /// Returns the zones whose workers this node may use, nearest first.
     pub fn zones(&self) -> &[ZoneName] {
         &self.zones
     }
 
-    /// Epoch and revision of the directory.
+    /// Returns the epoch and revision of the directory.
     pub fn directory_position(&self) -> (u64, u64) {
         self.directory.lock().position()
     }
 
-    /// The current view.
+    /// Returns the current snapshot, which later changes do not alter.
     pub fn view(&self) -> Arc<FleetView> {
         self.view.read().clone()
     }
 
-    /// The directory changed.
-    pub fn take_directory(&self, update: &DirectoryUpdate) {
-        if self.directory.lock().take(update) {
+    /// Applies a directory update and rebuilds the view, unless the update is
+    /// ignored as outdated.
+    pub fn apply_directory_update(&self, update: &DirectoryUpdate) {
+        if self.directory.lock().apply(update) {
             self.rebuild();
         }
     }
 
-    /// Another bundle is in force.
-    pub fn take_catalog(&self, catalog: Arc<Catalog>) {
+    /// Sets the bundle in force and rebuilds the view.
+    pub fn set_catalog(&self, catalog: Arc<Catalog>) {
         *self.catalog.lock() = Some(catalog);
         self.rebuild();
     }
 
-    /// This node stops: it drives no batch any more.
+    /// Starts draining this node: it gives up batch scheduling on all workers and
+    /// reports the draining to control at once.
     pub fn start_draining(&self) {
         self.draining.store(true, Ordering::Relaxed);
         self.rebuild();
-        self.leaving_seen.notify_one();
+        self.watch_interrupt.notify_one();
     }
 
-    /// Whether this node stops.
+    /// Returns whether this node is draining.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
@@ -143,16 +149,17 @@
                 && entry.engines.len() == usize::from(record.engines)
         });
         if let Some(entry) = same {
-            entry.worker.health.lock().list(record);
+            entry.worker.health.lock().update_listing(record);
             return Some(entry.clone());
         }
         WorkerEntry::new(zone_rank, record)
-            .map_err(|error| log::error!("client of worker {}: {error}", record.name))
+            .map_err(|error| log::error!("cannot create HTTP client for worker {}: {error}", record.name))
             .ok()
     }
 
-    /// Whether this node drives a worker's batch: the owner among live nodes
-    /// of the worker's zone, or of all zones in sight when that zone has none.
+    /// Returns whether this node schedules batch work on a worker. Rendezvous
+    /// hashing picks one owner among the nodes that are not draining in the
+    /// worker's zone, or in all zones of this node if that zone has none.
     fn drives(&self, directory: &Directory, worker: &WorkerRecord) -> bool {
         if self.is_draining() {
             return false;
@@ -175,26 +182,27 @@
         rendezvous_owner(&worker.name, eligible.map(|(name, _)| *name)) == Some(&self.node)
     }
 
-    /// A load report of a worker came.
-    pub fn take_report(&self, entry: &WorkerEntry, report: &WorkerReport) {
+    /// Applies a load report of a worker. Rebuilds the view if the worker's
+    /// leaving state or an engine's capabilities changed.
+    pub fn apply_report(&self, entry: &WorkerEntry, report: &WorkerReport) {
         let now_ms = clock::now_ms();
         let was_leaving = entry.worker.is_leaving();
         let first_sign = entry
             .worker
             .health
             .lock()
-            .report(report.incarnation, report.leaving);
+            .apply_report(report.incarnation, report.leaving);
         if first_sign {
-            self.note_leaving(&entry.worker);
+            self.announce_leaving(&entry.worker);
         }
         let mut changed = was_leaving != entry.worker.is_leaving();
         let mut more_online = false;
         for engine_report in &report.engines {
             let number = usize::from(engine_report.engine);
             if let Some(engine) = entry.engines.get(number) {
-                let news = engine.take_report(now_ms, engine_report, &self.metrics);
-                changed |= news.holds_other;
-                more_online |= news.more_online;
+                let changes = engine.apply_report(now_ms, engine_report, &self.metrics);
+                changed |= changes.capabilities_changed;
+                more_online |= changes.more_online;
             }
         }
         if changed {
@@ -206,45 +214,50 @@
         }
     }
 
-    /// The head of an answer of an engine carried its load.
-    pub fn take_load_header(&self, engine: &Engine, header: &LoadHeader) {
-        if engine.take_load_header(clock::now_ms(), header) {
+    /// Applies the load header of an engine's response and wakes the batch
+    /// scheduler if other nodes run more online requests there than before.
+    pub fn apply_load_header(&self, engine: &Engine, header: &LoadHeader) {
+        if engine.apply_load_header(clock::now_ms(), header) {
             self.online_arrived.notify_one();
         }
     }
 
-    /// An engine of the current view.
+    /// Returns an engine of the current view, or None if this node does not use
+    /// it.
     pub fn engine(&self, id: &EngineId) -> Option<Arc<Engine>> {
         let view = self.view();
         let entry = view.workers.get(&id.worker)?;
         entry.engines.get(usize::from(id.engine)).cloned()
     }
 
-    /// A worker refused as leaving.
+    /// Records that a worker refused a request because it is leaving.
     pub fn record_leaving_refusal(&self, worker: &Worker) {
-        let first = worker.health.lock().sign_leaving();
+        let first = worker.health.lock().mark_leaving();
         if first {
-            self.note_leaving(worker);
+            self.announce_leaving(worker);
             self.rebuild();
         }
     }
 
-    /// An engine refused for want of a model that it was thought to hold.
+    /// Records that an engine refused a request because `model`, which it had
+    /// reported, is not loaded.
     pub fn record_missing_model(&self, engine: &Engine, model: &str) {
-        engine.forget_model(model);
+        engine.remove_model(model);
         self.rebuild();
     }
 
-    /// An engine refused because it only prefills now.
+    /// Records that an engine refused to decode because its role changed to
+    /// prefill only.
     pub fn record_role_refusal(&self, engine: &Engine) {
-        engine.only_prefills();
+        engine.mark_prefill_only();
         self.rebuild();
     }
 
-    fn note_leaving(&self, worker: &Worker) {
+    fn announce_leaving(&self, worker: &Worker) {
         log::info!("worker {} is leaving", worker.name);
         self.metrics.leaving_signs.inc();
-        // Without a report yet, the first one brings the sign.
+        // The incarnation is unknown before the first report, and that report
+        // says again whether the worker is leaving.
         let Some(incarnation) = worker.health.lock().incarnation() else {
             return;
         };
@@ -252,28 +265,28 @@
             worker: worker.name.clone(),
             incarnation,
         });
-        self.leaving_seen.notify_one();
+        self.watch_interrupt.notify_one();
     }
 
-    /// A connection to a worker failed, or a report did not come.
+    /// Records a failed connection to a worker or a missing load report.
     pub fn connection_failed(&self, worker: &Worker) {
         self.metrics.connect_failures.inc();
         let now_ms = clock::now_ms();
         let mut health = worker.health.lock();
         let before = health.is_suspected(now_ms);
-        health.fail(now_ms);
+        health.record_failure(now_ms);
         if !before {
             log::debug!("worker {} is suspected", worker.name);
         }
     }
 
-    /// Signs of leaving that control has not confirmed yet.
-    pub fn leaving_signs(&self) -> Vec<LeavingSign> {
+    /// Returns the leaving workers that control has not acknowledged yet.
+    pub fn pending_leaving_signs(&self) -> Vec<LeavingSign> {
         self.leaving.lock().iter().cloned().collect()
     }
 
-    /// Control has these signs.
-    pub fn leaving_delivered(&self, signs: &[LeavingSign]) {
+    /// Removes leaving workers that control has acknowledged.
+    pub fn confirm_leaving_signs(&self, signs: &[LeavingSign]) {
         let mut leaving = self.leaving.lock();
         for sign in signs {
             leaving.remove(sign);
@@ -281,11 +294,12 @@
     }
 }
 
-/// Takes in the load that the head of an engine's answer carries.
+/// Applies the `X-Load` header of an engine's response to the fleet. A missing or
+/// malformed header is ignored.
 pub fn record_response_load(fleet: &Fleet, engine: &Engine, response: &reqwest::Response) {
     let header = response.headers().get("X-Load");
     let text = header.and_then(|value| value.to_str().ok());
     if let Some(load) = text.and_then(parse_load_header) {
-        fleet.take_load_header(engine, &load);
+        fleet.apply_load_header(engine, &load);
     }
 }
--- a/crates/pinerill-node/src/membership/mod.rs
+++ b/crates/pinerill-node/src/membership/mod.rs
@@ -1,5 +1,5 @@
-//! Who is there and who may get new work: the directory from the watch, load
-//! reports, refusals and failed connections.
+//! Tracks which workers and engines exist and which may get new work, from the
+//! directory, load reports, refusals and failed connections.
 
 mod directory;
 mod engine;
@@ -15,8 +15,8 @@
 pub use engine::{Engine, Worker, WorkerEntry};
 pub use fleet::{record_response_load, Fleet};
 pub use health::Health;
-pub use poll_pace::{PollPace, ROUNDS_LEFT_OUT_LIMIT};
+pub use poll_pace::{PollPace, MAX_SKIPPED_ROUNDS};
 pub use probe::WorkerPoller;
 pub use report::{EngineReport, Role, WorkerReport};
-pub use serving::{select_serving, Holding, Served};
+pub use serving::{select_serving, EngineCapabilities, Served};
 pub use view::{FleetView, ServiceEngines};
--- a/crates/pinerill-node/src/membership/poll_pace.rs
+++ b/crates/pinerill-node/src/membership/poll_pace.rs
@@ -1,45 +1,49 @@
-//! How often a worker is asked for its load report. Pure.
+//! Decides in which rounds a worker is polled for its load report.
 //!
-//! A worker that this node uses is asked in every round: routing and batch
-//! need its load while it changes. One that is not in use and reports the same
-//! again and again is asked less often, since nothing here depends on it until
-//! it is used, and then the next round asks.
+//! Performs no I/O. A worker that this node uses is polled in every round,
+//! since routing and batch work need its current load. An unused worker whose
+//! report stays the same is polled less often: nothing here depends on its
+//! load until it is used, and it is polled in the first round after that.
 
-/// Rounds that may be left out at most between two reports of a quiet worker.
-/// At two rounds a second its leaving is still noticed within two seconds.
-pub const ROUNDS_LEFT_OUT_LIMIT: u32 = 3;
+/// Maximum number of rounds skipped between two polls of an unused worker whose
+/// report does not change. At two rounds per second, the node still notices
+/// within two seconds that such a worker is leaving.
+pub const MAX_SKIPPED_ROUNDS: u32 = 3;
 
-/// The pace for one worker.
+/// Poll schedule of one worker.
 #[derive(Debug, Default)]
 pub struct PollPace {
-    /// Rounds to leave out after the last report.
-    allowed: u32,
-    /// Rounds left out since then.
-    left_out: u32,
+    /// Number of rounds to skip after the last report.
+    skip_limit: u32,
+    /// Number of rounds skipped since the last poll.
+    skipped: u32,
 }
 
 impl PollPace {
-    /// Whether to ask in this round.
+    /// Returns whether to poll the worker in this round, and counts the round
+    /// as skipped if not. A worker in use is always polled.
     pub fn is_due(&mut self, in_use: bool) -> bool {
-        if in_use || self.left_out >= self.allowed {
-            self.left_out = 0;
+        if in_use || self.skipped >= self.skip_limit {
+            self.skipped = 0;
             return true;
         }
-        self.left_out += 1;
+        self.skipped += 1;
         false
     }
 
-    /// A report came, and whether it told anything new.
-    pub fn reported(&mut self, has_news: bool) {
-        self.allowed = if has_news {
+    /// Adapts the schedule to a report: one that differs from the previous
+    /// report resets it to every round, an equal one lengthens the interval.
+    pub fn record_report(&mut self, has_changes: bool) {
+        self.skip_limit = if has_changes {
             0
         } else {
-            (self.allowed * 2 + 1).min(ROUNDS_LEFT_OUT_LIMIT)
+            (self.skip_limit * 2 + 1).min(MAX_SKIPPED_ROUNDS)
         };
     }
 
-    /// No report came: the worker is watched closely until one does.
-    pub fn failed(&mut self) {
-        self.allowed = 0;
+    /// Records a failed poll. The worker is polled in every round until it
+    /// reports again.
+    pub fn record_failure(&mut self) {
+        self.skip_limit = 0;
     }
 }
--- a/crates/pinerill-node/src/membership/probe.rs
+++ b/crates/pinerill-node/src/membership/probe.rs
@@ -1,4 +1,5 @@
-//! Polls each worker's load report and cache events.
+//! Polls the load report and the cache events of each worker in the fleet's view
+//! and applies them to the fleet.
 
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
@@ -14,14 +15,15 @@
 use super::poll_pace::PollPace;
 use super::report::WorkerReport;
 
-/// Longest wait for a load report.
+/// Timeout of a request for a load report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long a poll for cache events stays open, milliseconds.
+/// Time that the worker keeps a long poll for cache events open, in
+/// milliseconds.
 const EVENTS_WAIT_MS: u64 = 10_000;
-/// Longest wait for cache events.
+/// Timeout of a request for cache events, longer than the long poll.
 const EVENTS_TIMEOUT: Duration = Duration::from_millis(EVENTS_WAIT_MS + 2_000);
-/// Pause between two polls for cache events, so that busy engines are read in
-/// heaps.
+/// Pause between two polls for cache events, so that events of busy engines
+/// arrive in groups.
 const EVENTS_PAUSE: Duration = Duration::from_millis(250);
 /// Pause after a failed poll for cache events.
 const EVENTS_FAILED_PAUSE: Duration = Duration::from_secs(2);
@@ -46,7 +48,7 @@
     Evicted,
 }
 
-/// Keeps one pair of polls for each worker of the fleet's view.
+/// Runs one polling task for each worker in the fleet's view.
 pub struct WorkerPoller {
     fleet: Arc<Fleet>,
     pause: Duration,
@@ -54,7 +56,8 @@
 }
 
 impl WorkerPoller {
-    /// Polls with this pause between two reports of a worker.
+    /// Creates a poller without tasks. `pause` is the time between two rounds in
+    /// which a worker's load report may be polled.
     pub fn new(fleet: Arc<Fleet>, pause: Duration) -> Self {
         Self {
             fleet,
@@ -63,10 +66,11 @@
         }
     }
 
-    /// Follows the fleet until the task is dropped.
+    /// Starts and stops polling tasks as the fleet's view changes. Never returns;
+    /// dropping it stops all polling tasks.
     pub async fn run(mut self) {
         loop {
-            self.follow();
+            self.sync_with_view();
             tokio::select! {
                 () = self.fleet.members_changed.notified() => {}
                 () = tokio::time::sleep(self.pause) => {}
@@ -74,7 +78,7 @@
         }
     }
 
-    fn follow(&mut self) {
+    fn sync_with_view(&mut self) {
         let view = self.fleet.view();
         self.running.retain(|name, (entry, _)| {
             let current = view.workers.get(name);
@@ -115,13 +119,13 @@
         if pace.is_due(in_use) {
             match fetch_report(&entry).await {
                 Ok(report) => {
-                    fleet.take_report(&entry, &report);
-                    pace.reported(last.as_ref() != Some(&report));
+                    fleet.apply_report(&entry, &report);
+                    pace.record_report(last.as_ref() != Some(&report));
                     last = Some(report);
                 }
                 Err(_) => {
                     fleet.connection_failed(&entry.worker);
-                    pace.failed();
+                    pace.record_failure();
                 }
             }
         }
@@ -129,8 +133,8 @@
     }
 }
 
-/// Whether anything of this node runs there: requests, or batch that must
-/// step aside for other nodes' requests.
+/// Returns whether this node has online requests on the worker, or schedules
+/// batch work that runs there and must yield to online requests of other nodes.
 fn is_in_use(entry: &WorkerEntry) -> bool {
     let is_driven = entry.worker.is_driven();
     entry.engines.iter().any(|engine| {
@@ -151,7 +155,7 @@
         match fetch_events(&entry, after).await {
             Ok(events) => {
                 after = events.next;
-                take_events(&fleet, &entry, &events.events);
+                apply_cache_events(&fleet, &entry, &events.events);
                 tokio::time::sleep(EVENTS_PAUSE).await;
             }
             Err(_) => {
@@ -170,7 +174,7 @@
     request.send().await?.error_for_status()?.json().await
 }
 
-fn take_events(fleet: &Fleet, entry: &WorkerEntry, events: &[CacheEvent]) {
+fn apply_cache_events(fleet: &Fleet, entry: &WorkerEntry, events: &[CacheEvent]) {
     let mut hints = fleet.hints.lock();
     for event in events {
         let Ok(prefix) = u64::from_str_radix(&event.prefix, 16) else {
--- a/crates/pinerill-node/src/membership/report.rs
+++ b/crates/pinerill-node/src/membership/report.rs
@@ -1,59 +1,59 @@
-//! A worker's load report as it travels.
+//! JSON format of the load report that a worker serves at `/worker`.
 
 use serde::Deserialize;
 
-/// What an engine does of a request.
+/// Phases of a request that an engine runs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Prefill and decode.
+    /// Runs prefill and decode.
     #[default]
     Both,
-    /// Only prefill.
+    /// Runs only prefill.
     Prefill,
-    /// Only decode.
+    /// Runs only decode.
     Decode,
 }
 
-/// One engine of a load report.
+/// State of one engine in a load report.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Deserialize)]
 pub struct EngineReport {
-    /// Its number.
+    /// Number of the engine at its worker, counted from 0.
     pub engine: u16,
-    /// Its role.
+    /// Phases that the engine runs; `Both` if the report omits it.
     #[serde(default)]
     pub role: Role,
-    /// Requests with a slot, batch included.
+    /// Number of requests that hold a slot, including batch requests.
     pub running: u32,
-    /// Requests without one.
+    /// Number of requests queued for a slot.
     pub waiting: u32,
-    /// Batch requests with a slot.
+    /// Number of batch requests that hold a slot.
     #[serde(default)]
     pub batch_running: u32,
-    /// Batch requests that stepped aside.
+    /// Number of paused or preempted batch requests.
     #[serde(default)]
     pub batch_paused: u32,
-    /// Requests that may run at once.
+    /// Number of slots, the limit of requests that run concurrently.
     pub slots: u32,
-    /// Preemptions since its start.
+    /// Number of preemptions since the engine started.
     #[serde(default)]
     pub preemptions: u64,
-    /// `model@version` of the models that are ready.
+    /// Loaded models as `model@version`.
     #[serde(default)]
     pub models: Vec<String>,
-    /// `adapter@version` of the adapters that are ready.
+    /// Loaded adapters as `adapter@version`.
     #[serde(default)]
     pub adapters: Vec<String>,
 }
 
-/// A worker's load report.
+/// Load report of a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct WorkerReport {
-    /// Random number of this start of the worker.
+    /// Random number that the worker picks at each start.
     pub incarnation: u64,
-    /// It takes no new work.
+    /// Whether the worker is shutting down and takes no new work.
     #[serde(default)]
     pub leaving: bool,
-    /// Its engines.
+    /// Reports of the worker's engines.
     pub engines: Vec<EngineReport>,
 }
--- a/crates/pinerill-node/src/membership/serving.rs
+++ b/crates/pinerill-node/src/membership/serving.rs
@@ -1,38 +1,38 @@
-//! Which engines serve a service while versions change. Pure.
+//! Selects the engines that serve a service during a version change.
 //!
-//! As long as fewer than half of the engines that hold a model have the
-//! version of the bundle ready, those with another version serve as well, so
-//! that a change of version leaves no gap and does not crowd the few engines
-//! that are ahead.
+//! Performs no I/O. While fewer than half of the engines that have the model
+//! loaded have the version of the bundle, engines with another version serve
+//! as well. This avoids an outage during the change and does not overload the
+//! few engines that already have the new version.
 
 use super::report::{EngineReport, Role};
 use crate::configuration::ServicePlan;
 
-/// What an engine holds.
+/// Role of an engine and the models and adapters it has loaded.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Holding {
-    /// Its role.
+pub struct EngineCapabilities {
+    /// Role in the last report; `Both` before the first one.
     pub role: Role,
-    /// `model@version` of the models that are ready.
+    /// Loaded models as `model@version`.
     pub models: Vec<String>,
-    /// `adapter@version` of the adapters that are ready.
+    /// Loaded adapters as `adapter@version`.
     pub adapters: Vec<String>,
 }
 
-/// The names under which an engine serves a service.
+/// Versions of a service's model and adapter that an engine has loaded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Served {
-    /// `model@version`
+    /// Loaded model as `model@version`.
     pub model: String,
-    /// `adapter@version`
+    /// Loaded adapter as `adapter@version`; None if the service has none.
     pub adapter: Option<String>,
-    /// Both are the versions of the bundle.
+    /// Whether model and adapter both have the version of the bundle.
     pub exact: bool,
 }
 
-impl Holding {
-    /// Takes over what a report says. Returns whether it differs.
-    pub(super) fn take(&mut self, report: &EngineReport) -> bool {
+impl EngineCapabilities {
+    /// Replaces the state by that of a load report. Returns whether it changed.
+    pub(super) fn update(&mut self, report: &EngineReport) -> bool {
         let same = self.role == report.role
             && self.models == report.models
             && self.adapters == report.adapters;
@@ -46,8 +46,8 @@
         !same
     }
 
-    /// What it holds of a service's model and adapter, if it has both in some
-    /// version.
+    /// Returns the loaded versions of the service's model and adapter. None if
+    /// either one is not loaded in any version.
     pub fn serves(&self, plan: &ServicePlan) -> Option<Served> {
         let model = held_version(&self.models, &plan.model)?;
         let adapter = match &plan.adapter {
@@ -63,17 +63,24 @@
     }
 }
 
-/// The wanted version if it is held, or else another one of the same name.
+/// Finds the wanted `name@version` among the loaded ones, or else the last one
+/// of the same name. None if no version is loaded.
 fn held_version<'a>(held: &'a [String], wanted: &str) -> Option<&'a String> {
     let exact = held.iter().find(|one| *one == wanted);
-    exact.or_else(|| held.iter().rev().find(|one| base(one) == base(wanted)))
+    exact.or_else(|| {
+        held.iter()
+            .rev()
+            .find(|one| base_name(one) == base_name(wanted))
+    })
 }
 
-fn base(name: &str) -> &str {
+fn base_name(name: &str) -> &str {
     name.split_once('@').map_or(name, |(base, _)| base)
 }
 
-/// Of all holders that take new work, those that serve now.
+/// Selects the engines that serve a service from all that have its model
+/// loaded and take new work. Returns all of them while fewer than half have the
+/// exact version, and then only those with the exact version.
 pub fn select_serving<T>(holders: Vec<(T, Served)>) -> Vec<(T, Served)> {
     let exact = holders.iter().filter(|(_, served)| served.exact).count();
     if exact * 2 < holders.len() {
--- a/crates/pinerill-node/src/membership/view.rs
+++ b/crates/pinerill-node/src/membership/view.rs
@@ -1,4 +1,5 @@
-//! What requests look up of the fleet, replaced as a whole.
+//! Immutable snapshot of the fleet that requests use for lookups. Each change
+//! of the fleet replaces it as a whole.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -10,14 +11,14 @@
 use super::serving::{select_serving, Served};
 use crate::configuration::{Catalog, ServicePlan};
 
-/// Engines that serve one service.
+/// Engines that serve one service, split by role.
 #[derive(Debug, Default)]
 pub struct ServiceEngines {
-    /// Those that answer requests.
+    /// Engines that decode, and so answer requests.
     pub decode: Vec<Arc<Engine>>,
-    /// Those that only do prefill.
+    /// Engines that only prefill.
     pub prefill: Vec<Arc<Engine>>,
-    /// Place of an engine in `decode`.
+    /// Index of each engine in `decode`.
     pub index: HashMap<EngineId, usize>,
 }
 
@@ -32,30 +33,35 @@
     }
 }
 
-/// All that requests look up, replaced as a whole.
+/// Snapshot of the workers that this node uses and of the engines that serve
+/// each service.
 #[derive(Debug, Default)]
 pub struct FleetView {
-    /// Workers by name.
+    /// Selected workers by name.
     pub workers: BTreeMap<WorkerName, WorkerEntry>,
-    /// Engines by service.
+    /// Engines by service name; empty until a configuration bundle is in force.
     pub services: HashMap<ServiceName, ServiceEngines>,
 }
 
-/// The engines of each service of a bundle.
+/// Returns the engines that serve each service of the bundle.
 pub(super) fn engines_by_service(
     workers: &BTreeMap<WorkerName, WorkerEntry>,
     catalog: &Catalog,
 ) -> HashMap<ServiceName, ServiceEngines> {
     let plans = catalog.services();
     plans
-        .map(|plan| (plan.name.clone(), engines_of(workers, plan)))
+        .map(|plan| (plan.name.clone(), engines_for_service(workers, plan)))
         .collect()
 }
 
-fn engines_of(workers: &BTreeMap<WorkerName, WorkerEntry>, plan: &ServicePlan) -> ServiceEngines {
+fn engines_for_service(
+    workers: &BTreeMap<WorkerName, WorkerEntry>,
+    plan: &ServicePlan,
+) -> ServiceEngines {
     let mut holders: [Vec<(Arc<Engine>, Served)>; 2] = Default::default();
     for engine in workers.values().flat_map(|entry| &entry.engines) {
-        // A leaving engine must not keep the others of its version out.
+        // Leaving engines take no work, so they must not count towards the
+        // half at which engines with another version stop serving.
         if engine.worker.is_leaving() {
             continue;
         }
--- a/crates/pinerill-node/tests/catalog.rs
+++ b/crates/pinerill-node/tests/catalog.rs
@@ -144,7 +144,7 @@
     }
     assert!(matches!(
         state.apply_response(0, &wrong),
-        WatchOutcome::Unfit(_)
+        WatchOutcome::Invalid(_)
     ));
     assert_eq!(owner(&state, "k3"), None);
     assert_eq!(state.watch_base(), (1, Default::default()));
--- a/crates/pinerill-node/tests/poll_pace.rs
+++ b/crates/pinerill-node/tests/poll_pace.rs
@@ -1,13 +1,13 @@
 //! How often a worker is asked for its load report.
 
-use pinerill_node::membership::{PollPace, ROUNDS_LEFT_OUT_LIMIT};
+use pinerill_node::membership::{PollPace, MAX_SKIPPED_ROUNDS};
 
 /// Rounds of `count` in which the worker is asked; its reports tell nothing new.
 fn asked(pace: &mut PollPace, count: u32, in_use: bool) -> u32 {
     let mut asked = 0;
     for _ in 0..count {
         if pace.is_due(in_use) {
-            pace.reported(false);
+            pace.record_report(false);
             asked += 1;
         }
     }
@@ -28,7 +28,7 @@
 
 #[test]
 fn a_quiet_worker_is_asked_less_often_but_never_forgotten() {
-    let every = ROUNDS_LEFT_OUT_LIMIT + 1;
+    let every = MAX_SKIPPED_ROUNDS + 1;
     assert_eq!(asked(&mut quiet(), 10 * every, false), 10);
 }
 
@@ -36,7 +36,7 @@
 fn a_quiet_worker_is_asked_in_the_round_after_its_first_use() {
     let mut pace = quiet();
     while pace.is_due(false) {
-        pace.reported(false);
+        pace.record_report(false);
     }
     assert!(pace.is_due(true));
 }
@@ -44,9 +44,9 @@
 #[test]
 fn after_news_every_round_asks_until_nothing_changes() {
     let mut pace = quiet();
-    pace.reported(true);
+    pace.record_report(true);
     assert!(pace.is_due(false));
-    pace.reported(false);
+    pace.record_report(false);
     assert!(!pace.is_due(false));
     assert!(pace.is_due(false));
 }
@@ -54,9 +54,9 @@
 #[test]
 fn after_a_failure_every_round_asks() {
     let mut pace = quiet();
-    pace.failed();
+    pace.record_failure();
     for _ in 0..10 {
         assert!(pace.is_due(false));
-        pace.failed();
+        pace.record_failure();
     }
 }
