--- a/crates/pinerill-node/src/configuration/catalog.rs
+++ b/crates/pinerill-node/src/configuration/catalog.rs
@@ -1,4 +1,5 @@
-//! What requests look up, kept current from change to change.
+//! Lookup tables for requests, derived from a configuration bundle and updated
+//! incrementally with each change.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,41 +12,41 @@
 
 use super::tenants::{TenantPlan, TenantTable};
 
-/// A service with the names that engines use.
+/// A service with its model and adapter as engines name them.
 #[derive(Debug)]
 pub struct ServicePlan {
-    /// Its name.
+    /// Name under which callers request the service.
     pub name: ServiceName,
-    /// Its entry in the bundle.
+    /// Entry of the service in the bundle.
     pub settings: Service,
-    /// `model@version`, as engines report and take it.
+    /// Model as `model@version`, the form that engines report and accept. The
+    /// version is empty if the bundle does not list the model.
     pub model: String,
-    /// `adapter@version`, as engines report and take it.
+    /// Adapter as `adapter@version`; None if the service has none.
     pub adapter: Option<String>,
 }
 
-/// A bundle as requests need it.
+/// A configuration bundle in the form that requests look up.
 ///
-/// The next bundle shares all tenants but those that changed with the one
-/// before.
+/// Successive catalogs share all tenants that did not change.
 #[derive(Debug, Clone)]
 pub struct Catalog {
-    /// Version of the bundle.
+    /// Version of the bundle, which increases with each change.
     pub version: u64,
-    /// Its digest.
+    /// Digest of the whole bundle.
     pub digest: Digest,
-    /// Everything but the tenants.
+    /// All entries of the bundle except the tenants.
     core: Arc<Bundle>,
     services: Arc<HashMap<ServiceName, Arc<ServicePlan>>>,
     tenants: TenantTable,
 }
 
 impl Catalog {
-    /// Reads a whole bundle entry after entry, and computes the index that
-    /// verifies the changes to come.
+    /// Decodes a whole bundle entry by entry. Also returns the index that
+    /// verifies later changes.
     ///
     /// # Errors
-    /// When an entry is malformed or not of its section's type.
+    /// When an entry is malformed or does not have the type of its section.
     pub fn decode(encoded: &EncodedBundle) -> Result<(Self, EntryIndex), CodecError> {
         let mut core = Bundle {
             version: encoded.version(),
@@ -68,10 +69,11 @@
         Ok((catalog, index))
     }
 
-    /// The catalog after a change whose result was verified.
+    /// Returns the catalog after a change. The caller has verified that the
+    /// change leads to the digest that it names.
     ///
     /// # Errors
-    /// The parser's message when a value is not of its section's type.
+    /// The JSON error when a value does not have the type of its section.
     pub fn with_change(&self, change: &BundleChange) -> Result<Self, serde_json::Error> {
         let mut next = self.clone();
         next.version = change.version;
@@ -96,27 +98,27 @@
         Ok(next)
     }
 
-    /// Rules for the fleet as a whole.
+    /// Returns the settings that apply to the whole fleet.
     pub fn policy(&self) -> &Policy {
         &self.core.policy
     }
 
-    /// A tenant by its name.
+    /// Returns a tenant by name, or None if the bundle does not list it.
     pub fn tenant(&self, name: &TenantName) -> Option<&TenantPlan> {
         self.tenants.get(name)
     }
 
-    /// The tenant that a bearer key belongs to.
+    /// Returns the tenant that owns a bearer key, or None for an unknown key.
     pub fn tenant_of_key(&self, key: &str) -> Option<&TenantPlan> {
         self.tenants.by_bearer_key(key)
     }
 
-    /// A service by its name.
+    /// Returns a service by name, or None if the bundle does not list it.
     pub fn service(&self, name: &ServiceName) -> Option<&Arc<ServicePlan>> {
         self.services.get(name)
     }
 
-    /// All services.
+    /// Iterates over all services in no particular order.
     pub fn services(&self) -> impl Iterator<Item = &Arc<ServicePlan>> {
         self.services.values()
     }
--- a/crates/pinerill-node/src/configuration/mod.rs
+++ b/crates/pinerill-node/src/configuration/mod.rs
@@ -1,5 +1,5 @@
-//! The bundle in force at this node: how it is taken in, how long it may be
-//! relied on, and what is derived from it.
+//! The configuration bundle in force at this node: watches control for changes,
+//! applies them, tracks the lease and derives the lookup tables of requests.
 
 mod catalog;
 mod state;
--- a/crates/pinerill-node/src/configuration/state.rs
+++ b/crates/pinerill-node/src/configuration/state.rs
@@ -1,6 +1,8 @@
-//! Which bundle is in force here and until when it may be relied on.
+//! The configuration bundle in force at this node and the lease that says until
+//! when it counts as confirmed.
 //!
-//! Pure: the shell says when a watch was sent and what came back.
+//! Performs no I/O: the caller passes in each watch response and the time at
+//! which the watch was sent.
 
 use std::sync::Arc;
 
@@ -11,42 +13,45 @@
 
 use super::catalog::Catalog;
 
-/// What became of a watch's answer.
+/// Result of applying a watch response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WatchOutcome {
     /// A new version is in force.
     Changed {
-        /// The version before; none at the first one.
+        /// Previous version; None if this is the first one.
         from: Option<u64>,
-        /// The version now.
+        /// Version that is now in force.
         to: u64,
     },
-    /// Nothing new.
+    /// The response leaves the bundle as it was.
     Unchanged,
-    /// The answer is older than what is in force, and was ignored.
+    /// The response was ignored because its version, given here, is lower than
+    /// the one in force.
     Outdated(u64),
-    /// The update does not fit; the next watch asks for a snapshot.
+    /// The bundle of the response was rejected for the reason given here. The
+    /// bundle in force stays.
     Invalid(String),
 }
 
-/// The bundle in force and its lease.
+/// The configuration bundle in force and its lease.
 #[derive(Debug, Default)]
 pub struct ConfigurationState {
     catalog: Option<Arc<Catalog>>,
-    /// Verifies changes; of the same bundle as the catalog. None after a
-    /// change that did not fit: the next watch asks for a snapshot.
+    /// Index of the bundle in the catalog, which verifies changes. None after a
+    /// change failed verification, so that the next watch requests a snapshot.
     index: Option<EntryIndex>,
     lease_until_ms: u64,
 }
 
 impl ConfigurationState {
-    /// The bundle in force, if any version was ever confirmed.
+    /// Returns the bundle in force, or None until a version is confirmed.
     pub fn catalog(&self) -> Option<&Arc<Catalog>> {
         self.catalog.as_ref()
     }
 
-    /// What the next watch names as the bundle's version and digest. A node
-    /// without a usable base names the zero digest and gets a snapshot.
+    /// Returns the bundle version and digest to send in the next watch. The
+    /// digest is zero if there is no base for changes, which makes control send a
+    /// snapshot.
     pub fn watch_base(&self) -> (u64, Digest) {
         match &self.catalog {
             Some(catalog) if self.index.is_some() => (catalog.version, catalog.digest),
@@ -55,12 +60,15 @@
         }
     }
 
-    /// When the lease ends, in milliseconds of the shell's clock.
+    /// Returns the end of the lease in milliseconds of the caller's clock; 0
+    /// before the first lease.
     pub fn lease_until_ms(&self) -> u64 {
         self.lease_until_ms
     }
 
-    /// Takes in the answer to the watch that was sent at `sent_ms`.
+    /// Applies the response to the watch that was sent at `sent_ms`, and renews
+    /// the lease if the response confirms the version in force. A response with
+    /// a lower version than that is ignored.
     pub fn apply_response(&mut self, sent_ms: u64, response: &WatchResponse) -> WatchOutcome {
         let current = self.catalog.as_ref().map(|one| one.version);
         if current.is_some_and(|version| response.version < version) {
@@ -96,8 +104,8 @@
         };
         let held = self.catalog.as_ref();
         if current == Some(to) && held.is_some_and(|held| held.digest != catalog.digest) {
-            // One version has one content: another content under it is a
-            // fault of the sender and changes nothing here.
+            // A version never changes its content, so different content under
+            // the same version is an error of the sender and is rejected.
             return WatchOutcome::Invalid("another bundle under the version in force".to_owned());
         }
         self.index = Some(index);
@@ -123,7 +131,12 @@
         }
     }
 
-    /// Only changes whose result has the digest that they name are taken.
+    /// Returns the catalog after the given changes. Each change must lead to the
+    /// digest that it names.
+    ///
+    /// # Errors
+    /// When there is no base, or a change fails verification or can't be
+    /// parsed. The index may then include some of the changes.
     fn catalog_with_changes(&mut self, changes: &[BundleChange]) -> Result<Arc<Catalog>, String> {
         let mut catalog = self.catalog.clone().ok_or("changes without a base")?;
         let index = self.index.as_mut().ok_or("changes without a base")?;
@@ -135,8 +148,8 @@
         Ok(catalog)
     }
 
-    /// The lease counts from when the confirmed watch was sent, and only when
-    /// the version it confirmed is the one in force here.
+    /// Extends the lease if the response confirms the version in force here. The
+    /// lease counts from when the watch was sent, not from the response.
     fn renew_lease(&mut self, sent_ms: u64, response: &WatchResponse) {
         let Some(catalog) = &self.catalog else {
             return;
--- a/crates/pinerill-node/src/configuration/tenants.rs
+++ b/crates/pinerill-node/src/configuration/tenants.rs
@@ -1,5 +1,6 @@
-//! Tenants as requests look them up, kept small: a node knows tens of
-//! thousands of them and serves few at a time.
+//! Tenants of the bundle, indexed by name and by bearer key. The layout saves
+//! memory, since a node knows tens of thousands of tenants and serves few at a
+//! time.
 
 use std::borrow::Borrow;
 use std::cmp::Ordering;
@@ -9,25 +10,25 @@
 use pinerill_types::bundle::Tenant;
 use pinerill_types::{KeyHash, ServiceName, TenantName};
 
-/// A tenant with its limits.
+/// A tenant with its services and its limits.
 #[derive(Debug, PartialEq)]
 pub struct TenantPlan {
-    /// Its name.
+    /// Name of the tenant in the bundle.
     pub name: TenantName,
-    /// The services it may call; tenants with the same ones share the set.
+    /// Services that the tenant may call. Tenants with equal sets share one.
     pub services: Arc<BTreeSet<ServiceName>>,
-    /// Online requests a second at one node.
+    /// Sustained rate of online requests per second at one node.
     pub requests_per_second: f64,
-    /// Online requests at once above that rate.
+    /// Number of online requests that may exceed that rate in a burst.
     pub burst: u32,
-    /// Online requests in flight at one node.
+    /// Maximum number of online requests in flight at one node.
     pub concurrent_requests: u32,
-    /// Batch items that may be open in one job group.
+    /// Maximum number of open batch items in one job group.
     pub open_batch_items: u32,
     key_hashes: Box<[KeyHash]>,
 }
 
-/// A tenant, ordered and found by its name.
+/// A tenant that compares by name, so that a set can look it up by name.
 #[derive(Debug, Clone)]
 struct ByName(Arc<TenantPlan>);
 
@@ -57,11 +58,12 @@
     }
 }
 
-/// All tenants in persistent trees: a copy shares all but what was changed
-/// since, so that a change costs time and memory in proportion to itself.
+/// All tenants, in persistent trees. A copy shares all unchanged nodes with the
+/// original, so that the time and memory of a change are proportional to its
+/// size.
 ///
-/// Trees and not hash tries: over tens of thousands of entries the nodes of a
-/// trie are mostly empty.
+/// Trees take less memory than hash tries here, whose nodes are mostly empty at
+/// tens of thousands of entries.
 #[derive(Debug, Clone, Default)]
 pub(super) struct TenantTable {
     by_name: imbl::OrdSet<ByName>,
@@ -70,19 +72,20 @@
 }
 
 impl TenantTable {
-    /// A tenant by its name.
+    /// Returns a tenant by name, or None if there is none.
     pub(super) fn get(&self, name: &TenantName) -> Option<&TenantPlan> {
         let found = self.by_name.get(name.as_str())?;
         Some(found.0.as_ref())
     }
 
-    /// The tenant that a bearer key belongs to.
+    /// Returns the tenant that owns a bearer key, or None for an unknown key.
     pub(super) fn by_bearer_key(&self, key: &str) -> Option<&TenantPlan> {
         let hash = KeyHash::of(key.as_bytes());
         self.by_key.get(&hash).map(Arc::as_ref)
     }
 
-    /// Adds or replaces a tenant.
+    /// Adds a tenant, replacing any tenant of that name. Key hashes that are not
+    /// valid hexadecimal are skipped.
     pub(super) fn set(&mut self, name: TenantName, tenant: Tenant) {
         self.remove(&name);
         let plan = Arc::new(TenantPlan {
@@ -100,13 +103,14 @@
         self.by_name.insert(ByName(plan));
     }
 
-    /// Removes a tenant, if there is one.
+    /// Removes a tenant and its keys. Does nothing if there is none.
     pub(super) fn remove(&mut self, name: &TenantName) {
         let Some(ByName(plan)) = self.by_name.remove(name.as_str()) else {
             return;
         };
         for hash in &plan.key_hashes {
-            // Another tenant may have taken the key over in the same change.
+            // The same change may already have assigned the key to another
+            // tenant.
             let owner = self.by_key.get(hash);
             if owner.is_some_and(|owner| owner.name == *name) {
                 self.by_key.remove(hash);
@@ -126,7 +130,8 @@
         services
     }
 
-    /// Sets that no tenant has any more would otherwise stay for ever.
+    /// Drops service sets that no tenant uses, which would otherwise accumulate
+    /// for ever.
     fn drop_unused_service_sets(&mut self) {
         let used = self.by_name.iter().map(|tenant| tenant.0.services.clone());
         self.service_sets = used.collect();
--- a/crates/pinerill-node/src/configuration/watch.rs
+++ b/crates/pinerill-node/src/configuration/watch.rs
@@ -1,4 +1,5 @@
-//! Holds the watch at control machines and hands out what it brings.
+//! Keeps a long-polling watch open at the control machines and applies each
+//! response to the configuration, the fleet and the job groups.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,61 +16,66 @@
 use crate::membership::Fleet;
 use crate::metrics::Metrics;
 
-/// How long a watch stays open at a control machine, milliseconds. The lease
-/// counts from when the watch was sent, so this is well below the shortest.
+/// Time that a control machine may keep a watch open, in milliseconds. It is well
+/// below the shortest lease, since the lease counts from when the watch is sent.
 const WATCH_WAIT_MS: u64 = 1_000;
-/// Longest wait for the answer to a watch.
+/// Timeout of a watch call, longer than the long poll.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(WATCH_WAIT_MS + 1_000);
-/// Shortest pause between two watches.
+/// Pause after a successful watch, which bounds the rate of watches.
 const WATCH_PAUSE: Duration = Duration::from_millis(20);
-/// Pause after a watch that failed.
+/// Pause after a failed watch.
 const FAILED_PAUSE: Duration = Duration::from_millis(200);
 
-/// The bundle in force, shared by all parts of the node.
+/// The bundle in force and its lease, shared by all tasks of the node.
 #[derive(Debug, Default)]
 pub struct Configuration {
     state: RwLock<ConfigurationState>,
 }
 
 impl Configuration {
-    /// The bundle in force, if any version was ever confirmed.
+    /// Returns the bundle in force, or None until a version is confirmed.
     pub fn catalog(&self) -> Option<Arc<Catalog>> {
         self.state.read().catalog().cloned()
     }
 
-    /// Whether the version in force is confirmed at `now_ms`.
+    /// Returns whether a bundle is in force and its lease still holds at
+    /// `now_ms`.
     pub fn is_confirmed(&self, now_ms: u64) -> bool {
         let state = self.state.read();
         state.catalog().is_some() && now_ms < state.lease_until_ms()
     }
 
-    /// Milliseconds that the configuration lease still lasts.
+    /// Returns the remaining time of the configuration lease in milliseconds; 0
+    /// if it has ended.
     pub fn lease_left_ms(&self, now_ms: u64) -> u64 {
         let until_ms = self.state.read().lease_until_ms();
         until_ms.saturating_sub(now_ms)
     }
 }
 
-/// Holds the watch.
+/// Task that watches control for changes of the bundle, the directory and the
+/// job groups, and reports the state of this node with each watch.
 pub struct ControlWatcher {
-    /// Control machines.
+    /// Client for the control machines.
     pub api: Arc<dyn ControlApi>,
-    /// Takes bundles in.
+    /// Receives bundle updates and lease renewals.
     pub configuration: Arc<Configuration>,
-    /// Takes the directory in.
+    /// Receives directory updates and new bundles; supplies leaving workers to
+    /// report.
     pub fleet: Arc<Fleet>,
-    /// Takes groups in.
+    /// Receives the list of job groups.
     pub groups: Arc<Groups>,
-    /// Counters.
+    /// Receives the bundle version and the count of failed watches.
     pub metrics: Arc<Metrics>,
-    /// The node's name and zone.
+    /// Supplies the name and zone of this node.
     pub settings: NodeSettings,
-    /// Random number of this start.
+    /// Random number that identifies this start of the node.
     pub incarnation: u64,
 }
 
 impl ControlWatcher {
-    /// Watches until the task is dropped.
+    /// Watches in a loop and never returns. A failed watch is retried after a
+    /// pause; an interrupted one is sent again at once.
     pub async fn run(self) {
         let mut failing = false;
         loop {
@@ -98,8 +104,8 @@
 
     fn record_outcome(&self, taken: &Result<(), CallError>, failing: &mut bool) {
         match taken {
-            Ok(()) if *failing => log::info!("watch is answered again"),
-            Err(error) if !*failing => log::warn!("watch fails: {error}"),
+            Ok(()) if *failing => log::info!("watch of control succeeds again"),
+            Err(error) if !*failing => log::warn!("watch of control fails: {error}"),
             _ => {}
         }
         *failing = taken.is_err();
@@ -156,7 +162,7 @@
             WatchOutcome::Unchanged => Ok(()),
             WatchOutcome::Changed { from, to } => {
                 let from = from.map_or_else(|| "none".to_owned(), |one| one.to_string());
-                log::info!("bundle {to} is in force, before it {from}");
+                log::info!("bundle version {to} is in force, previous version {from}");
                 self.metrics.bundle_version.set(to as i64);
                 if let Some(catalog) = self.configuration.catalog() {
                     self.fleet.set_catalog(catalog);
--- a/crates/pinerill-node/src/engine/answer_reader.rs
+++ b/crates/pinerill-node/src/engine/answer_reader.rs
@@ -1,37 +1,39 @@
-//! From an engine's bytes to the text of one answer. Pure.
+//! Turns the bytes of an engine's event stream into the text of one answer.
+//! Performs no I/O.
 
 use super::assembly::{Assembly, Finish, FrameOutcome};
 use super::frame::Frame;
 use super::sse::SseParser;
 
-/// Data of the event that ends a stream.
+/// Data of the event that marks the end of a stream.
 const DONE: &[u8] = b"[DONE]";
 
-/// What one chunk of bytes led to.
+/// State of the answer after a chunk of bytes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Progress {
-    /// Go on reading.
+    /// The answer is incomplete, and the caller keeps reading.
     Continues,
-    /// The answer is whole.
+    /// The answer is complete.
     Finished(Finish),
-    /// The engine ended the request before its end.
+    /// The engine cancelled the request before the answer was complete.
     Cancelled,
-    /// Attach again: something is missing or unreadable.
+    /// Tokens are missing or an event is unreadable, for the reason given here.
+    /// The caller must attach again.
     Broken(&'static str),
-    /// The digest over the whole answer does not fit.
+    /// The digest of the whole text does not match that of the last frame.
     WrongDigest,
 }
 
-/// Frames that did not count.
+/// Number of frames that were dropped.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DroppedFrames {
-    /// Of other requests.
+    /// Frames that belong to other requests.
     pub foreign: u64,
-    /// Delivered already.
+    /// Frames that add nothing to what is already delivered.
     pub late: u64,
 }
 
-/// The answer to one request as it arrives, over one or more connections to
+/// Reads the answer to one request, which may arrive over several connections to
 /// one or more engines.
 #[derive(Debug)]
 pub struct AnswerReader {
@@ -42,7 +44,7 @@
 }
 
 impl AnswerReader {
-    /// An empty answer to the request that engines know by `request_id`.
+    /// Creates a reader for the request with the engine identifier `request_id`.
     pub fn new(request_id: &str) -> Self {
         Self {
             assembly: Assembly::new(request_id),
@@ -52,32 +54,35 @@
         }
     }
 
-    /// Number of tokens so far, which is the offset to attach from.
+    /// Returns the number of tokens so far, which is the offset to attach from.
     pub fn next_offset(&self) -> u32 {
         self.assembly.next_offset()
     }
 
-    /// Forgets the unfinished event of a connection that is no more.
+    /// Prepares for a new connection by discarding the incomplete event of the
+    /// previous one.
     pub fn start_connection(&mut self) {
         self.parser = SseParser::default();
     }
 
-    /// The text since the last call.
+    /// Returns and removes the text that arrived since the last call.
     pub fn take_text(&mut self) -> String {
         std::mem::take(&mut self.text)
     }
 
-    /// The text that nobody has taken.
+    /// Returns the text that arrived since the last [`Self::take_text`].
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Frames dropped since the last call.
+    /// Returns and resets the counts of frames dropped since the last call.
     pub fn take_dropped(&mut self) -> DroppedFrames {
         std::mem::take(&mut self.dropped)
     }
 
-    /// Takes bytes in.
+    /// Processes bytes of the event stream. Any result but
+    /// [`Progress::Continues`] ends the current connection, and the rest of its
+    /// bytes is ignored.
     pub fn push_bytes(&mut self, bytes: &[u8]) -> Progress {
         if self.parser.push(bytes).is_err() {
             return Progress::Broken("an event is too long");
--- a/crates/pinerill-node/src/engine/assembly.rs
+++ b/crates/pinerill-node/src/engine/assembly.rs
@@ -1,44 +1,48 @@
-//! Assembles one answer from frames, whatever order or source they come from.
+//! Assembles one answer from frames, which may come from several connections and
+//! engines, out of order or repeated.
 //!
-//! Pure. It only ever grows by the token that comes next, drops what belongs
-//! to another request or was delivered already, and ends only when the digest
-//! over the whole text fits.
+//! Performs no I/O. The answer grows only by the next token. Frames of other
+//! requests and tokens that are already delivered are dropped. The answer is
+//! complete only if the digest of its whole text matches.
 
 use sha2::{Digest, Sha256};
 
 use super::frame::{Frame, Usage};
 
-/// How a whole answer ended.
+/// End of a complete answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finish {
-    /// `stop`, `length`, ….
+    /// Reason that the engine gave, such as `stop` or `length`.
     pub reason: String,
-    /// Counts of tokens.
+    /// Token counts of the request.
     pub usage: Usage,
-    /// SHA-256 of the whole text, hexadecimal; none from an old script.
+    /// Hexadecimal SHA-256 of the whole text; None from a script that does not
+    /// send one.
     pub digest: Option<String>,
 }
 
-/// What became of a frame.
+/// Result of offering a frame to the assembly.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FrameOutcome {
-    /// Its text comes next in the answer.
+    /// The frame's text is the next part of the answer.
     Text,
-    /// It is the last one, and the answer is whole.
+    /// The frame is the last one, and the answer is complete.
     Finished(Finish),
-    /// The engine ended the request before its end.
+    /// The engine cancelled the request before the answer was complete.
     Cancelled,
-    /// It belongs to another request.
+    /// The frame belongs to another request and is dropped.
     Foreign,
-    /// It was delivered already.
+    /// The frame adds nothing to what is already delivered, and is dropped.
     Duplicate,
-    /// Tokens before it are missing: attach again.
+    /// The frame does not continue at the next token. The caller must attach
+    /// again from the next offset.
     Gap,
-    /// The digest over the whole answer does not fit.
+    /// The digest of the whole text does not match that of the last frame.
     WrongDigest,
 }
 
-/// The answer so far.
+/// State of an answer while its frames arrive. Keeps a hash of the text, not the
+/// text itself.
 #[derive(Debug)]
 pub struct Assembly {
     request_id: String,
@@ -47,7 +51,8 @@
 }
 
 impl Assembly {
-    /// An empty answer of the request that engines know by `request_id`.
+    /// Creates an empty answer to the request with the engine identifier
+    /// `request_id`.
     pub fn new(request_id: impl Into<String>) -> Self {
         Self {
             request_id: request_id.into(),
@@ -56,12 +61,12 @@
         }
     }
 
-    /// Number of tokens so far, which is the offset to attach from.
+    /// Returns the number of tokens so far, which is the offset to attach from.
     pub fn next_offset(&self) -> u32 {
         self.next_offset
     }
 
-    /// Takes one frame in.
+    /// Checks one frame and adds its text to the answer if it comes next.
     pub fn accept(&mut self, frame: &Frame<'_>) -> FrameOutcome {
         if frame.request_id != self.request_id {
             return FrameOutcome::Foreign;
@@ -82,8 +87,9 @@
         }
     }
 
-    /// A frame that starts before what is wanted: whole in the fully_delivered it is
-    /// dropped, otherwise the wanted part can't be split off.
+    /// Rejects a frame that starts before the next token. It is a duplicate if
+    /// all of it is already delivered, and a gap otherwise, since the text of its
+    /// new tokens can't be split off.
     fn reject_overlapping(&self, end: u32, frame: &Frame<'_>) -> FrameOutcome {
         let fully_delivered = end <= self.next_offset && frame.finish_reason.is_none();
         if fully_delivered {
--- a/crates/pinerill-node/src/engine/client.rs
+++ b/crates/pinerill-node/src/engine/client.rs
@@ -1,5 +1,5 @@
-//! Calls to one engine over HTTP. Says of each failure whether the engine may
-//! have heard of the request.
+//! HTTP client for one engine. Each failure says whether the engine may have
+//! received the request, which decides whether a retry is safe.
 
 use std::time::Duration;
 
@@ -7,23 +7,24 @@
 use reqwest::{Client, Response, StatusCode};
 use serde::Deserialize;
 
-/// Longest wait for a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long an idle connection is kept.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest wait for the answer to an attach.
+/// Timeout for the response headers of an attach.
 const ATTACH_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for the answer to a pause.
+/// Timeout of a pause or unpause call.
 const PAUSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Word of a refusal because the identifier was seen before.
+/// Error code of a refusal because the engine already has a request of that
+/// identifier.
 const DUPLICATE_REQUEST: &str = "duplicate_request";
 
-/// Priority at an engine.
+/// Scheduling class of a request at an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Priority {
-    /// Admitted first.
+    /// Gets a slot before batch requests.
     Online,
-    /// Steps aside.
+    /// Yields its slot to online requests.
     Batch,
 }
 
@@ -36,108 +37,112 @@
     }
 }
 
-/// One request to an engine.
+/// A completion request to an engine.
 #[derive(Debug, Clone)]
 pub struct EngineCall<'a> {
-    /// `/v1/completions` or `/v1/chat/completions`.
+    /// URL path, `/v1/completions` or `/v1/chat/completions`.
     pub path: &'static str,
-    /// Identifier at the engine.
+    /// Identifier under which the engine knows the request.
     pub request_id: &'a str,
-    /// Priority.
+    /// Scheduling class at the engine.
     pub priority: Priority,
-    /// `adapter@version`.
+    /// Adapter as `adapter@version`; None to use the model alone.
     pub adapter: Option<&'a str>,
-    /// Handle of an imported prefill.
+    /// Handle of an imported KV cache that replaces the prefill, if any.
     pub kv_handle: Option<&'a str>,
-    /// Tokens that were delivered elsewhere.
+    /// Number of answer tokens that are already delivered, from which the engine
+    /// continues.
     pub continue_from: u32,
-    /// The JSON body.
+    /// Request body in JSON.
     pub body: Bytes,
 }
 
-/// An engine's refusal.
+/// An error response of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// HTTP status.
+    /// HTTP status of the response.
     pub status: u16,
-    /// Its word, such as `leaving`.
+    /// Error code, such as `leaving`; empty if the body has none.
     pub code: String,
-    /// A sentence for people.
+    /// Error message for humans; empty if the body has none.
     pub message: String,
-    /// The engine promises that it did not run and never will.
+    /// Whether the engine guarantees that the request did not and will not run.
+    /// Always false for a duplicate, whose first request may have run.
     pub not_started: bool,
 }
 
 impl Refusal {
-    /// Whether the identifier was seen before at this engine.
+    /// Returns whether the engine already has a request of that identifier.
     pub fn is_duplicate(&self) -> bool {
         self.code == DUPLICATE_REQUEST
     }
 
-    /// Whether the engine does not hold the model or adapter.
+    /// Returns whether the engine has not loaded the model or adapter.
     pub fn lacks_model(&self) -> bool {
         matches!(self.code.as_str(), "model_not_loaded" | "loading")
     }
 
-    /// Whether the engine only prefills now.
+    /// Returns whether the engine's role rules out the request, since it only
+    /// prefills.
     pub fn is_wrong_role(&self) -> bool {
         self.code == "wrong_role"
     }
 
-    /// Whether the worker is leaving.
+    /// Returns whether the engine refused because its worker is shutting down.
     pub fn is_leaving(&self) -> bool {
         self.code == "leaving"
     }
 }
 
-/// What the engine answered.
+/// Response of an engine to a completion request.
 #[derive(Debug)]
 pub enum SendOutcome {
-    /// The answer begins.
+    /// Status 200; the body holds the answer, whole or as a stream.
     Answer(Response),
-    /// It was refused.
+    /// Any other status.
     Refused(Refusal),
 }
 
-/// How a call failed without an answer.
+/// Failure of a call without a complete response.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SendError {
-    /// No byte of the request was sent.
+    /// The connection failed before any byte of the request was sent.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// The engine may have heard of it.
+    /// The call failed after the engine may have received the request.
     #[error("{0}")]
     PossiblyReceived(String),
 }
 
-/// Answer to a cancel.
+/// Result of cancelling a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CancelAnswer {
-    /// It never ran and never will.
+    /// The request did not and will not run.
     NotStarted,
-    /// It had started, and is ended.
+    /// The request had started and has now ended.
     Ended,
     /// The engine does not know the request, or did not answer.
     Unknown,
 }
 
-/// Answer to a pause.
+/// Result of pausing or unpausing a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PauseAnswer {
-    /// Carried out, or no longer needed.
+    /// The engine carried out the call or did not need to.
     Done,
-    /// The engine does not know the request, or not yet.
+    /// The engine does not know the request, which may not have arrived yet.
     UnknownRequest,
-    /// The engine did not answer.
+    /// The call failed or timed out.
     Unreachable,
 }
 
-/// How an attach failed.
+/// Failure to attach to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttachError {
-    /// This incarnation of the engine never had the request.
+    /// The current incarnation of the engine never received the request.
     UnknownRequest,
-    /// The engine did not answer.
+    /// The call failed, timed out or returned an unexpected status, as described
+    /// here.
     Unreachable(String),
 }
 
@@ -160,10 +165,10 @@
     state: String,
 }
 
-/// Builds the pooled client for one worker.
+/// Builds the HTTP client with the connection pool of one worker.
 ///
 /// # Errors
-/// When the library can't set itself up.
+/// When the HTTP library fails to initialize.
 pub fn worker_client() -> reqwest::Result<Client> {
     Client::builder()
         .no_proxy()
@@ -174,7 +179,7 @@
         .build()
 }
 
-/// Calls to one engine.
+/// Client for the HTTP API of one engine.
 #[derive(Debug, Clone)]
 pub struct EngineClient {
     http: Client,
@@ -182,16 +187,17 @@
 }
 
 impl EngineClient {
-    /// Calls through `http` to the engine whose paths start with `base`, such
-    /// as `http://127.0.0.1:9000/engines/0`.
+    /// Creates a client that uses the connections of `http`. `base` is the URL
+    /// prefix of the engine, such as `http://127.0.0.1:9000/engines/0`.
     pub fn new(http: Client, base: String) -> Self {
         Self { http, base }
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a completion request and waits for the response headers.
     ///
     /// # Errors
-    /// [`SendError`], which says whether the engine may have heard of it.
+    /// [`SendError`], which says whether the engine may have received the
+    /// request.
     pub async fn send(&self, call: EngineCall<'_>) -> Result<SendOutcome, SendError> {
         let mut request = self
             .http
@@ -216,10 +222,11 @@
         read_refusal(response).await.map(SendOutcome::Refused)
     }
 
-    /// Attaches to a request from the output token `offset`.
+    /// Opens another stream of a request's answer, starting at answer token
+    /// `offset`.
     ///
     /// # Errors
-    /// [`AttachError`].
+    /// [`AttachError`], which tells an unknown request from a failed call.
     pub async fn attach(&self, request_id: &str, offset: u32) -> Result<Response, AttachError> {
         let url = format!(
             "{}/v1/requests/{request_id}/stream?offset={offset}",
@@ -238,7 +245,7 @@
         }
     }
 
-    /// Ends a request at the engine.
+    /// Cancels a request at the engine.
     pub async fn cancel(&self, request_id: &str, timeout: Duration) -> CancelAnswer {
         match self.post_state(request_id, "cancel", timeout).await {
             Some(state) if state == "not_started" => CancelAnswer::NotStarted,
@@ -247,12 +254,12 @@
         }
     }
 
-    /// Stops a batch request, which keeps its place.
+    /// Pauses a batch request, which keeps its progress.
     pub async fn pause(&self, request_id: &str) -> PauseAnswer {
         self.set_paused(request_id, "pause").await
     }
 
-    /// Lets a paused request go on.
+    /// Resumes a paused request.
     pub async fn unpause(&self, request_id: &str) -> PauseAnswer {
         self.set_paused(request_id, "unpause").await
     }
@@ -273,7 +280,8 @@
         Some(state.state)
     }
 
-    /// Exports the KV cache of a request; answers with its handle.
+    /// Exports the KV cache of a request and returns its handle, or None if the
+    /// call fails.
     pub async fn export_kv(&self, request_id: &str, timeout: Duration) -> Option<String> {
         #[derive(Deserialize)]
         struct Exported {
@@ -287,7 +295,8 @@
         Some(exported.handle)
     }
 
-    /// Imports a KV cache from another engine, `ip:port/engines/e`.
+    /// Imports a KV cache from the engine at `source`, which has the form
+    /// `ip:port/engines/e`. Returns whether the import succeeded.
     pub async fn import_kv(&self, handle: &str, source: &str, timeout: Duration) -> bool {
         let body = serde_json::json!({ "handle": handle, "source": source });
         let url = format!("{}/v1/kv/import", self.base);
@@ -321,7 +330,7 @@
     }
 }
 
-/// The message of an error and of what caused it.
+/// Returns the message of an error and of its chain of causes, joined by `: `.
 pub fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
--- a/crates/pinerill-node/src/engine/frame.rs
+++ b/crates/pinerill-node/src/engine/frame.rs
@@ -1,59 +1,63 @@
-//! One frame of an engine's answer, and the load header beside it.
+//! JSON format of the frames in an engine's answer, and the `X-Load` header that
+//! comes with it.
 
 use std::borrow::Cow;
 
 use serde::{Deserialize, Serialize};
 
-/// Counts of tokens of an answer.
+/// Token counts of a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     #[serde(default)]
     pub prompt_tokens: u32,
-    /// Tokens of the answer.
+    /// Number of tokens in the answer.
     #[serde(default)]
     pub completion_tokens: u32,
-    /// Tokens of the prompt that were cached.
+    /// Number of prompt tokens found in the engine's prefix cache.
     #[serde(default)]
     pub cached_tokens: u32,
 }
 
-/// One event of an engine's stream, or its whole answer.
+/// A part of an answer: one event of an engine's stream, or the whole answer of a
+/// request without streaming.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Frame<'a> {
-    /// The request it belongs to.
+    /// Identifier of the request that the frame belongs to.
     #[serde(borrow)]
     pub request_id: Cow<'a, str>,
-    /// Number of the first token in it.
+    /// Index in the answer of the frame's first token, counted from 0.
     pub offset: u32,
-    /// How many tokens it holds.
+    /// Number of tokens in the frame.
     pub tokens: u32,
-    /// Their text.
+    /// Text of the frame's tokens.
     #[serde(borrow)]
     pub text: Cow<'a, str>,
-    /// Set on the last frame.
+    /// Why the answer ended; set only on the last frame.
     #[serde(borrow, default)]
     pub finish_reason: Option<Cow<'a, str>>,
-    /// Set on the last frame.
+    /// Token counts of the whole request; set only on the last frame.
     #[serde(default)]
     pub usage: Option<Usage>,
-    /// SHA-256 of the whole text, hexadecimal; set on the last frame.
+    /// Hexadecimal SHA-256 of the whole text; set only on the last frame.
     #[serde(borrow, default)]
     pub digest: Option<Cow<'a, str>>,
 }
 
-/// Fields of the header `X-Load`.
+/// Load of an engine, from the `X-Load` header of its responses.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LoadHeader {
-    /// Requests with a slot, batch included.
+    /// Number of requests that hold a slot, including batch requests.
     pub running: u32,
-    /// Requests without one.
+    /// Number of requests queued for a slot.
     pub waiting: u32,
-    /// Batch requests with a slot.
+    /// Number of batch requests that hold a slot.
     pub batch_running: u32,
 }
 
-/// Reads `running=3,waiting=0,batch_running=1,…`; unknown fields are skipped.
+/// Parses an `X-Load` value such as `running=3,waiting=0,batch_running=1`.
+/// Unknown fields are skipped and missing ones are 0. Returns None if a part has
+/// no `=` or a known field is not a number.
 pub fn parse_load_header(text: &str) -> Option<LoadHeader> {
     let mut load = LoadHeader::default();
     for part in text.split(',') {
--- a/crates/pinerill-node/src/engine/mod.rs
+++ b/crates/pinerill-node/src/engine/mod.rs
@@ -1,4 +1,5 @@
-//! Towards engines: frames, their assembly into an answer, and the client.
+//! HTTP client for engines, and the parsing and assembly of their streamed
+//! answers.
 
 mod answer_reader;
 mod assembly;
--- a/crates/pinerill-node/src/engine/sse.rs
+++ b/crates/pinerill-node/src/engine/sse.rs
@@ -1,17 +1,18 @@
-//! Splits a byte stream into the data of server-sent events.
+//! Parser that extracts the data lines of server-sent events from a byte stream.
 
 use bytes::{Buf, BytesMut};
 
-/// Longest event, in bytes; a longer one is an error of the peer.
+/// Maximum size of the buffered bytes, and so of an event. A longer event is an
+/// error of the peer.
 const EVENT_LIMIT: usize = 4 * 1024 * 1024;
 const DATA_PREFIX: &[u8] = b"data:";
 
-/// The peer sent an event that is longer than the limit.
+/// Error for an event that exceeds the size limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("an event is longer than {EVENT_LIMIT} bytes")]
 pub struct EventTooLong;
 
-/// Keeps the bytes of an event that has not ended yet.
+/// Incremental parser. Buffers the bytes of the last, incomplete line.
 #[derive(Debug, Default)]
 pub struct SseParser {
     buffer: BytesMut,
@@ -19,10 +20,10 @@
 }
 
 impl SseParser {
-    /// Adds bytes that arrived.
+    /// Appends received bytes to the buffer.
     ///
     /// # Errors
-    /// When an event is longer than the limit.
+    /// When the buffered bytes exceed the size limit.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), EventTooLong> {
         self.buffer.extend_from_slice(bytes);
         if self.buffer.len() > EVENT_LIMIT {
@@ -31,7 +32,8 @@
         Ok(())
     }
 
-    /// The data of the next line that holds some, if a whole one is there.
+    /// Returns the trimmed data of the next complete `data:` line and skips other
+    /// lines. None until more bytes arrive.
     pub fn next_data(&mut self) -> Option<BytesMut> {
         loop {
             let rest = &self.buffer[self.scanned..];
--- a/crates/pinerill-node/src/membership/fleet.rs
+++ b/crates/pinerill-node/src/membership/fleet.rs
@@ -153,7 +153,7 @@
             return Some(entry.clone());
         }
         WorkerEntry::new(zone_rank, record)
-            .map_err(|error| log::error!("cannot create HTTP client for worker {}: {error}", record.name))
+            .map_err(|error| log::error!("no client for worker {}: {error}", record.name))
             .ok()
     }
 
