--- a/crates/pinerill-node/src/configuration/state.rs
+++ b/crates/pinerill-node/src/configuration/state.rs
@@ -29,7 +29,8 @@
     /// the one in force.
     Outdated(u64),
     /// The bundle of the response was rejected for the reason given here. The
-    /// bundle in force stays.
+    /// bundle in force stays. After an invalid change the next watch requests a
+    /// snapshot.
     Invalid(String),
 }
 
--- a/crates/pinerill-node/src/engine/answer_reader.rs
+++ b/crates/pinerill-node/src/engine/answer_reader.rs
@@ -80,9 +80,9 @@
         std::mem::take(&mut self.dropped)
     }
 
-    /// Processes bytes of the event stream. Any result but
-    /// [`Progress::Continues`] ends the current connection, and the rest of its
-    /// bytes is ignored.
+    /// Parses bytes of the event stream and adds the text of their frames. After
+    /// any result but [`Progress::Continues`], the caller must not pass in more
+    /// bytes of the same connection.
     pub fn push_bytes(&mut self, bytes: &[u8]) -> Progress {
         if self.parser.push(bytes).is_err() {
             return Progress::Broken("an event is too long");
--- a/crates/pinerill-node/src/membership/report.rs
+++ b/crates/pinerill-node/src/membership/report.rs
@@ -30,7 +30,7 @@
     /// Number of batch requests that hold a slot.
     #[serde(default)]
     pub batch_running: u32,
-    /// Number of batch requests paused to yield to online requests.
+    /// Number of batch requests that are paused or preempted.
     #[serde(default)]
     pub batch_paused: u32,
     /// Number of slots, the limit of requests that run concurrently.
--- a/crates/pinerill-node/src/membership/serving.rs
+++ b/crates/pinerill-node/src/membership/serving.rs
@@ -49,9 +49,9 @@
     /// Returns the loaded versions of the service's model and adapter. None if
     /// either one is not loaded in any version.
     pub fn serves(&self, plan: &ServicePlan) -> Option<Served> {
-        let model = held_version(&self.models, &plan.model)?;
+        let model = loaded_version(&self.models, &plan.model)?;
         let adapter = match &plan.adapter {
-            Some(adapter) => Some(held_version(&self.adapters, adapter)?),
+            Some(adapter) => Some(loaded_version(&self.adapters, adapter)?),
             None => None,
         };
         let exact = *model == plan.model && adapter == plan.adapter.as_ref();
@@ -65,10 +65,11 @@
 
 /// Finds the wanted `name@version` among the loaded ones, or else the last one
 /// of the same name. None if no version is loaded.
-fn held_version<'a>(held: &'a [String], wanted: &str) -> Option<&'a String> {
-    let exact = held.iter().find(|one| *one == wanted);
+fn loaded_version<'a>(loaded: &'a [String], wanted: &str) -> Option<&'a String> {
+    let exact = loaded.iter().find(|one| *one == wanted);
     exact.or_else(|| {
-        held.iter()
+        loaded
+            .iter()
             .rev()
             .find(|one| base_name(one) == base_name(wanted))
     })
@@ -81,11 +82,11 @@
 /// Selects the engines that serve a service from all that have its model
 /// loaded and take new work. Returns all of them while fewer than half have the
 /// exact version, and then only those with the exact version.
-pub fn select_serving<T>(holders: Vec<(T, Served)>) -> Vec<(T, Served)> {
-    let exact = holders.iter().filter(|(_, served)| served.exact).count();
-    if exact * 2 < holders.len() {
-        return holders;
+pub fn select_serving<T>(engines: Vec<(T, Served)>) -> Vec<(T, Served)> {
+    let exact = engines.iter().filter(|(_, served)| served.exact).count();
+    if exact * 2 < engines.len() {
+        return engines;
     }
-    let ready = holders.into_iter().filter(|(_, served)| served.exact);
+    let ready = engines.into_iter().filter(|(_, served)| served.exact);
     ready.collect()
 }
--- a/crates/pinerill-node/src/membership/view.rs
+++ b/crates/pinerill-node/src/membership/view.rs
@@ -58,7 +58,7 @@
     workers: &BTreeMap<WorkerName, WorkerEntry>,
     plan: &ServicePlan,
 ) -> ServiceEngines {
-    let mut holders: [Vec<(Arc<Engine>, Served)>; 2] = Default::default();
+    let mut loaded_engines: [Vec<(Arc<Engine>, Served)>; 2] = Default::default();
     for engine in workers.values().flat_map(|entry| &entry.engines) {
         // Leaving engines take no work, so they must not count towards the
         // half at which engines with another version stop serving.
@@ -67,11 +67,11 @@
         }
         if let Some(served) = engine.serves(plan) {
             let prefills = engine.role() == Role::Prefill;
-            holders[usize::from(prefills)].push((engine.clone(), served));
+            loaded_engines[usize::from(prefills)].push((engine.clone(), served));
         }
     }
     let mut engines = ServiceEngines::default();
-    for (engine, _) in holders.into_iter().flat_map(select_serving) {
+    for (engine, _) in loaded_engines.into_iter().flat_map(select_serving) {
         engines.insert(&engine);
     }
     engines
--- a/crates/pinerill-node/tests/catalog.rs
+++ b/crates/pinerill-node/tests/catalog.rs
@@ -1,5 +1,5 @@
-//! The catalog follows changes as if it were derived anew, and a change that
-//! does not fit leaves it as it was.
+//! Guards against a catalog that, after incremental changes, differs from one
+//! derived from the whole bundle, and against a rejected change that alters it.
 
 use std::sync::Arc;
 
@@ -28,7 +28,7 @@
     serde_json::from_value(json).expect("a tenant")
 }
 
-fn first() -> Bundle {
+fn initial_bundle() -> Bundle {
     let mut bundle = Bundle {
         version: 1,
         ..Bundle::default()
@@ -39,7 +39,7 @@
     bundle
 }
 
-fn snapshot(bundle: &Bundle) -> WatchResponse {
+fn snapshot_response(bundle: &Bundle) -> WatchResponse {
     WatchResponse {
         confirmed: true,
         version: bundle.version,
@@ -48,7 +48,7 @@
     }
 }
 
-fn change(base: &Bundle, next: &Bundle) -> WatchResponse {
+fn change_response(base: &Bundle, next: &Bundle) -> WatchResponse {
     WatchResponse {
         confirmed: true,
         version: next.version,
@@ -57,7 +57,7 @@
     }
 }
 
-fn owner(state: &ConfigurationState, key: &str) -> Option<TenantName> {
+fn tenant_name_of_key(state: &ConfigurationState, key: &str) -> Option<TenantName> {
     let catalog = state.catalog().expect("a bundle is in force");
     let tenant = catalog.tenant_of_key(key)?;
     Some(tenant.name.clone())
@@ -69,14 +69,14 @@
 }
 
 #[test]
-fn a_key_that_moves_between_tenants_belongs_to_the_new_one() {
+fn a_key_reassigned_in_one_change_belongs_to_the_new_tenant() {
     let mut state = ConfigurationState::default();
-    state.apply_response(0, &snapshot(&first()));
-    let mut next = first();
+    state.apply_response(0, &snapshot_response(&initial_bundle()));
+    let mut next = initial_bundle();
     next.version = 2;
     next.tenants.insert("desk".into(), tenant(&["k1"]));
     next.tenants.insert("crew".into(), tenant(&["k2"]));
-    let taken = state.apply_response(0, &change(&first(), &next));
+    let taken = state.apply_response(0, &change_response(&initial_bundle(), &next));
     assert_eq!(
         taken,
         WatchOutcome::Changed {
@@ -84,31 +84,31 @@
             to: 2
         }
     );
-    assert_eq!(owner(&state, "k1"), Some("desk".into()));
-    assert_eq!(owner(&state, "k2"), Some("crew".into()));
+    assert_eq!(tenant_name_of_key(&state, "k1"), Some("desk".into()));
+    assert_eq!(tenant_name_of_key(&state, "k2"), Some("crew".into()));
 }
 
 #[test]
-fn a_removed_tenant_is_not_let_in() {
+fn the_key_of_a_removed_tenant_is_unknown() {
     let mut state = ConfigurationState::default();
-    state.apply_response(0, &snapshot(&first()));
-    let mut next = first();
+    state.apply_response(0, &snapshot_response(&initial_bundle()));
+    let mut next = initial_bundle();
     next.version = 2;
     next.tenants.remove(&TenantName::from("desk"));
-    state.apply_response(0, &change(&first(), &next));
-    assert_eq!(owner(&state, "k1"), None);
+    state.apply_response(0, &change_response(&initial_bundle(), &next));
+    assert_eq!(tenant_name_of_key(&state, "k1"), None);
 }
 
 #[test]
-fn tenants_with_the_same_services_share_them() {
-    let mut bundle = first();
+fn tenants_with_equal_services_share_one_set() {
+    let mut bundle = initial_bundle();
     bundle.tenants.insert("crew".into(), tenant(&["k3"]));
     let mut state = ConfigurationState::default();
-    state.apply_response(0, &snapshot(&bundle));
+    state.apply_response(0, &snapshot_response(&bundle));
     let mut next = bundle.clone();
     next.version = 2;
     next.tenants.insert("van".into(), tenant(&["k4"]));
-    state.apply_response(0, &change(&bundle, &next));
+    state.apply_response(0, &change_response(&bundle, &next));
     let catalog = state.catalog().expect("a bundle is in force");
     let services = |key: &str| {
         let tenant = catalog.tenant_of_key(key).expect("a tenant");
@@ -119,36 +119,36 @@
 }
 
 #[test]
-fn a_new_model_version_reaches_its_services() {
+fn a_new_model_version_updates_the_services_of_the_model() {
     let mut state = ConfigurationState::default();
-    state.apply_response(0, &snapshot(&first()));
-    let mut next = first();
+    state.apply_response(0, &snapshot_response(&initial_bundle()));
+    let mut next = initial_bundle();
     next.version = 2;
     next.models.insert("fanar-8b".into(), model("2"));
-    state.apply_response(0, &change(&first(), &next));
+    state.apply_response(0, &change_response(&initial_bundle(), &next));
     let catalog = state.catalog().expect("a bundle is in force");
     assert_eq!(engine_model(catalog), "fanar-8b@2");
     assert_eq!(catalog.digest, next.digest());
 }
 
 #[test]
-fn a_change_with_another_result_is_left_out_and_a_snapshot_is_asked_for() {
+fn a_change_with_a_wrong_digest_is_rejected_and_a_snapshot_requested() {
     let mut state = ConfigurationState::default();
-    state.apply_response(0, &snapshot(&first()));
-    let mut next = first();
+    state.apply_response(0, &snapshot_response(&initial_bundle()));
+    let mut next = initial_bundle();
     next.version = 2;
     next.tenants.insert("crew".into(), tenant(&["k3"]));
-    let mut wrong = change(&first(), &next);
+    let mut wrong = change_response(&initial_bundle(), &next);
     if let Some(BundleUpdate::Changes(changes)) = &mut wrong.bundle {
-        changes[0].digest = first().digest();
+        changes[0].digest = initial_bundle().digest();
     }
     assert!(matches!(
         state.apply_response(0, &wrong),
         WatchOutcome::Invalid(_)
     ));
-    assert_eq!(owner(&state, "k3"), None);
+    assert_eq!(tenant_name_of_key(&state, "k3"), None);
     assert_eq!(state.watch_base(), (1, Default::default()));
-    state.apply_response(0, &snapshot(&next));
-    assert_eq!(owner(&state, "k3"), Some("crew".into()));
+    state.apply_response(0, &snapshot_response(&next));
+    assert_eq!(tenant_name_of_key(&state, "k3"), Some("crew".into()));
     assert_eq!(state.watch_base(), (2, next.digest()));
 }
--- a/crates/pinerill-node/tests/poll_pace.rs
+++ b/crates/pinerill-node/tests/poll_pace.rs
@@ -1,40 +1,42 @@
-//! How often a worker is asked for its load report.
+//! Guards against stale load of a worker in use and against needless polls of an
+//! idle one.
 
 use pinerill_node::membership::{PollPace, MAX_SKIPPED_ROUNDS};
 
-/// Rounds of `count` in which the worker is asked; its reports tell nothing new.
-fn asked(pace: &mut PollPace, count: u32, in_use: bool) -> u32 {
-    let mut asked = 0;
+/// Runs `count` rounds in which each poll returns an unchanged report. Returns the
+/// number of polls.
+fn count_polls(pace: &mut PollPace, count: u32, in_use: bool) -> u32 {
+    let mut polls = 0;
     for _ in 0..count {
         if pace.is_due(in_use) {
             pace.record_report(false);
-            asked += 1;
+            polls += 1;
         }
     }
-    asked
+    polls
 }
 
-/// A pace after many reports without news.
-fn quiet() -> PollPace {
+/// Returns a schedule after many unchanged reports, at its longest interval.
+fn idle_pace() -> PollPace {
     let mut pace = PollPace::default();
-    asked(&mut pace, 100, false);
+    count_polls(&mut pace, 100, false);
     pace
 }
 
 #[test]
-fn a_worker_in_use_is_asked_in_every_round() {
-    assert_eq!(asked(&mut quiet(), 40, true), 40);
+fn a_worker_in_use_is_polled_in_every_round() {
+    assert_eq!(count_polls(&mut idle_pace(), 40, true), 40);
 }
 
 #[test]
-fn a_quiet_worker_is_asked_less_often_but_never_forgotten() {
-    let every = MAX_SKIPPED_ROUNDS + 1;
-    assert_eq!(asked(&mut quiet(), 10 * every, false), 10);
+fn an_idle_worker_is_polled_at_the_longest_interval() {
+    let interval = MAX_SKIPPED_ROUNDS + 1;
+    assert_eq!(count_polls(&mut idle_pace(), 10 * interval, false), 10);
 }
 
 #[test]
-fn a_quiet_worker_is_asked_in_the_round_after_its_first_use() {
-    let mut pace = quiet();
+fn an_idle_worker_is_polled_in_the_first_round_of_use() {
+    let mut pace = idle_pace();
     while pace.is_due(false) {
         pace.record_report(false);
     }
@@ -42,8 +44,8 @@
 }
 
 #[test]
-fn after_news_every_round_asks_until_nothing_changes() {
-    let mut pace = quiet();
+fn a_changed_report_resets_the_interval_to_every_round() {
+    let mut pace = idle_pace();
     pace.record_report(true);
     assert!(pace.is_due(false));
     pace.record_report(false);
@@ -52,8 +54,8 @@
 }
 
 #[test]
-fn after_a_failure_every_round_asks() {
-    let mut pace = quiet();
+fn a_worker_is_polled_in_every_round_after_a_failure() {
+    let mut pace = idle_pace();
     pace.record_failure();
     for _ in 0..10 {
         assert!(pace.is_due(false));
--- a/crates/pinerill-node/tests/version_change.rs
+++ b/crates/pinerill-node/tests/version_change.rs
@@ -1,4 +1,5 @@
-//! Requests while engines go from one version of a model to the next.
+//! Guards against failed requests and mixed answers while engines change from one
+//! version of a model to the next.
 
 mod support;
 
@@ -8,10 +9,12 @@
 use support::worker::{text, FakeWorker};
 use support::{bundle, line, until, FakeControl, TestNode, KEY};
 
+/// Model version that the workers have loaded at the start.
 const OLD: &str = "fanar-8b@1";
+/// Model version of the bundle in force.
 const NEW: &str = "fanar-8b@2";
 const WORKERS: usize = 4;
-/// More than would miss a worker by chance: choices are random.
+/// Enough requests that random routing does not miss a worker by chance.
 const REQUESTS: usize = 24;
 
 struct Fixture {
@@ -20,7 +23,8 @@
 }
 
 impl Fixture {
-    /// Workers that hold the old version while the bundle wants the new one.
+    /// Starts workers that have the old version loaded and a node whose bundle
+    /// names the new one.
     async fn start() -> Self {
         let control = Arc::new(FakeControl::new(bundle()));
         let mut workers = Vec::new();
@@ -41,8 +45,9 @@
         fixture
     }
 
-    /// Waits until the node has had a report of every worker that was made
-    /// after this call.
+    /// Waits until the node has applied a report that each worker made after this
+    /// call. Reports of a worker are polled one at a time, so a second poll shows
+    /// that the first report was applied.
     async fn await_reports(&self) {
         let seen: Vec<u32> = self
             .workers
@@ -57,7 +62,7 @@
         }
     }
 
-    async fn hold(&self, worker: usize, models: &[&str]) {
+    async fn set_models(&self, worker: usize, models: &[&str]) {
         let models = models.iter().map(|one| (*one).to_owned()).collect();
         self.workers[worker].change(|model| model.models = models);
         self.await_reports().await;
@@ -69,8 +74,9 @@
         support::answer(request.bearer_auth(KEY).json(&body)).await
     }
 
-    /// Sends requests, all of which succeed; how many came under each version.
-    async fn load(&self) -> [usize; 2] {
+    /// Sends [`REQUESTS`] requests, which must all succeed, and returns how many
+    /// ran on the old and on the new version.
+    async fn count_requests_by_version(&self) -> [usize; 2] {
         self.workers
             .iter()
             .for_each(|worker| worker.change(|model| model.came.clear()));
@@ -96,77 +102,90 @@
 }
 
 #[tokio::test]
-async fn the_old_version_serves_until_half_of_the_engines_have_the_new_one() {
+async fn the_old_version_serves_until_half_of_the_engines_have_the_new_version() {
     let fixture = Fixture::start().await;
-    assert_eq!(fixture.load().await, [REQUESTS, 0], "none has the new one");
-    fixture.hold(0, &[OLD, NEW]).await;
-    let [old, new] = fixture.load().await;
+    assert_eq!(
+        fixture.count_requests_by_version().await,
+        [REQUESTS, 0],
+        "no engine has the new version"
+    );
+    fixture.set_models(0, &[OLD, NEW]).await;
+    let [old, new] = fixture.count_requests_by_version().await;
     assert!(
         old > 0 && new > 0,
-        "one of four: both serve, {old} and {new}"
+        "with one engine of four both versions serve: {old} old and {new} new"
+    );
+    fixture.set_models(1, &[NEW]).await;
+    assert_eq!(
+        fixture.count_requests_by_version().await,
+        [0, REQUESTS],
+        "half of the engines have the new version"
     );
-    fixture.hold(1, &[NEW]).await;
-    assert_eq!(fixture.load().await, [0, REQUESTS], "half have it");
 }
 
 #[tokio::test]
-async fn the_old_version_serves_again_when_those_with_the_new_one_leave() {
+async fn the_old_version_serves_again_when_workers_with_the_new_version_leave() {
     let fixture = Fixture::start().await;
-    fixture.hold(0, &[NEW]).await;
-    fixture.hold(1, &[NEW]).await;
+    fixture.set_models(0, &[NEW]).await;
+    fixture.set_models(1, &[NEW]).await;
     fixture.workers[0].change(|model| model.leaving = true);
     fixture.workers[1].change(|model| model.leaving = true);
-    assert_eq!(fixture.load().await, [REQUESTS, 0]);
+    assert_eq!(fixture.count_requests_by_version().await, [REQUESTS, 0]);
 }
 
 #[tokio::test]
-async fn a_model_unloaded_between_two_reports_costs_no_request() {
+async fn a_model_unloaded_between_two_reports_fails_no_request() {
     let fixture = Fixture::start().await;
-    fixture.hold(0, &[NEW]).await;
+    fixture.set_models(0, &[NEW]).await;
     for worker in &fixture.workers[1..] {
         worker.change(|model| (model.models, model.frozen_report) = (vec![NEW.to_owned()], true));
     }
-    assert_eq!(fixture.load().await, [0, REQUESTS]);
+    assert_eq!(fixture.count_requests_by_version().await, [0, REQUESTS]);
 }
 
 #[tokio::test]
-async fn an_engine_that_refuses_for_its_new_role_is_not_asked_again() {
+async fn an_engine_that_refused_for_its_role_gets_no_more_requests() {
     let (changed, other) = (
         FakeWorker::start("changed", 1).await,
         FakeWorker::start("other", 1).await,
     );
     let control = Arc::new(FakeControl::new(bundle()));
     control.list_workers(vec![changed.record(), other.record()]);
-    // Only the first report comes within the test.
+    // With this poll interval only the first report arrives during the test, so
+    // the node learns the new role from the refusal alone.
     let node = TestNode::start_with(control, |settings| settings.report_poll_ms = 600_000).await;
     let workers = [changed, other];
     let fixture = Fixture {
         node,
         workers: workers.into(),
     };
-    until_both_are_asked(&fixture).await;
+    until_each_worker_has_a_request(&fixture).await;
     let changed = &fixture.workers[0];
     changed.change(|model| model.refusal = Some((503, "wrong_role")));
     let before = changed.model.lock().arrivals.len();
     for _ in 0..REQUESTS {
         assert_eq!(fixture.complete().await.0, 200);
     }
-    let met = changed.model.lock().arrivals.len() - before;
-    assert_eq!(met, 1, "only the first one met it");
+    let received = changed.model.lock().arrivals.len() - before;
+    assert_eq!(
+        received, 1,
+        "only one request reaches the engine after its role changed"
+    );
 }
 
-/// The node knows what both hold.
-async fn until_both_are_asked(fixture: &Fixture) {
-    let asked = |worker: &FakeWorker| !worker.model.lock().arrivals.is_empty();
-    while !fixture.workers.iter().all(asked) {
+/// Sends requests until each worker has received one, which shows that the node
+/// has a report of both.
+async fn until_each_worker_has_a_request(fixture: &Fixture) {
+    let has_request = |worker: &FakeWorker| !worker.model.lock().arrivals.is_empty();
+    while !fixture.workers.iter().all(has_request) {
         fixture.complete().await;
     }
 }
 
 #[tokio::test]
-async fn an_answer_begun_by_one_version_does_not_go_on_with_another() {
+async fn an_answer_is_not_continued_by_another_model_version() {
     let fixture = Fixture::start().await;
-    fixture.hold(0, &[NEW]).await;
+    fixture.set_models(0, &[NEW]).await;
     let all = &fixture.workers;
     all.iter()
         .for_each(|worker| worker.change(|model| model.hold_after = Some(1)));
@@ -191,7 +210,7 @@
 }
 
 #[tokio::test]
-async fn batch_items_run_under_the_version_that_an_engine_holds() {
+async fn batch_items_run_on_the_model_version_that_an_engine_has_loaded() {
     let fixture = Fixture::start().await;
     fixture
         .node
