--- a/crates/pinerill-node/src/configuration/catalog.rs
+++ b/crates/pinerill-node/src/configuration/catalog.rs
@@ -1,4 +1,5 @@
-//! What requests look up, kept current from change to change.
+//! Lookup tables for requests, derived from a configuration bundle and updated
+//! incrementally with each change.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,42 +12,42 @@
 
 use super::tenants::{TenantPlan, TenantTable};
 
-/// A service with the names that engines use.
+/// A service with its model and adapter as engines name them.
 #[derive(Debug)]
 pub struct ServicePlan {
-    /// Its name.
+    /// Name under which callers request the service.
     pub name: ServiceName,
-    /// Its entry in the bundle.
+    /// Entry of the service in the bundle.
     pub settings: Service,
-    /// `model@version`, as engines report and take it.
+    /// Model as `model@version`, the form that engines report and accept. The
+    /// version is empty if the bundle does not list the model.
     pub model: String,
-    /// `adapter@version`, as engines report and take it.
+    /// Adapter as `adapter@version`; None if the service has none.
     pub adapter: Option<String>,
 }
 
-/// A bundle as requests need it.
+/// A configuration bundle in the form that requests look up.
 ///
-/// The next bundle shares all tenants but those that changed with the one
-/// before.
+/// Successive catalogs share all tenants that did not change.
 #[derive(Debug, Clone)]
 pub struct Catalog {
-    /// Version of the bundle.
+    /// Version of the bundle, which increases with each change.
     pub version: u64,
-    /// Its digest.
+    /// Digest of the whole bundle.
     pub digest: Digest,
-    /// Everything but the tenants.
+    /// All entries of the bundle except the tenants.
     core: Arc<Bundle>,
     services: Arc<HashMap<ServiceName, Arc<ServicePlan>>>,
     tenants: TenantTable,
 }
 
 impl Catalog {
-    /// Reads a whole bundle entry after entry, and computes the index that
-    /// verifies the changes to come.
+    /// Decodes a whole bundle entry by entry. Also returns the index that
+    /// verifies later changes.
     ///
     /// # Errors
-    /// When an entry is malformed or not of its section's type.
-    pub fn read(encoded: &EncodedBundle) -> Result<(Self, EntryIndex), CodecError> {
+    /// When an entry is malformed or does not have the type of its section.
+    pub fn decode(encoded: &EncodedBundle) -> Result<(Self, EntryIndex), CodecError> {
         let mut core = Bundle {
             version: encoded.version(),
             ..Bundle::default()
@@ -55,23 +56,24 @@
         let mut index = EntryIndex::build(encoded.version());
         encoded.for_each_entry(|entry| {
             index.add(&entry)?;
-            take_entry(&mut core, &mut tenants, &entry).map_err(anyhow::Error::from)
+            insert_entry(&mut core, &mut tenants, &entry).map_err(anyhow::Error::from)
         })?;
         let index = index.finish();
         let catalog = Self {
             version: encoded.version(),
             digest: index.digest(),
-            services: Arc::new(plans(&core)),
+            services: Arc::new(service_plans(&core)),
             core: Arc::new(core),
             tenants,
         };
         Ok((catalog, index))
     }
 
-    /// The catalog after a change whose result was verified.
+    /// Returns the catalog after a change. The caller has verified that the
+    /// change leads to the digest that it names.
     ///
     /// # Errors
-    /// The parser's message when a value is not of its section's type.
+    /// The JSON error when a value does not have the type of its section.
     pub fn with_change(&self, change: &BundleChange) -> Result<Self, serde_json::Error> {
         let mut next = self.clone();
         next.version = change.version;
@@ -85,44 +87,44 @@
             }
         }
         for entry in &change.set {
-            take_entry(&mut core, &mut next.tenants, entry)?;
+            insert_entry(&mut core, &mut next.tenants, entry)?;
         }
         let keys = change.removed.iter();
         let mut keys = keys.chain(change.set.iter().map(|entry| &entry.key));
         if keys.any(|key| key.kind != EntryKind::Tenant) {
-            next.services = Arc::new(plans(&core));
+            next.services = Arc::new(service_plans(&core));
         }
         next.core = Arc::new(core);
         Ok(next)
     }
 
-    /// Rules for the fleet as a whole.
+    /// Returns the settings that apply to the whole fleet.
     pub fn policy(&self) -> &Policy {
         &self.core.policy
     }
 
-    /// A tenant by its name.
+    /// Returns a tenant by name, or None if the bundle does not list it.
     pub fn tenant(&self, name: &TenantName) -> Option<&TenantPlan> {
         self.tenants.get(name)
     }
 
-    /// The tenant that a bearer key belongs to.
+    /// Returns the tenant that owns a bearer key, or None for an unknown key.
     pub fn tenant_of_key(&self, key: &str) -> Option<&TenantPlan> {
-        self.tenants.of_key(key)
+        self.tenants.by_bearer_key(key)
     }
 
-    /// A service by its name.
+    /// Returns a service by name, or None if the bundle does not list it.
     pub fn service(&self, name: &ServiceName) -> Option<&Arc<ServicePlan>> {
         self.services.get(name)
     }
 
-    /// All services.
+    /// Iterates over all services in no particular order.
     pub fn services(&self) -> impl Iterator<Item = &Arc<ServicePlan>> {
         self.services.values()
     }
 }
 
-fn take_entry(
+fn insert_entry(
     core: &mut Bundle,
     tenants: &mut TenantTable,
     entry: &Entry,
@@ -139,14 +141,14 @@
     TenantName::from(key.name.as_str())
 }
 
-fn plans(bundle: &Bundle) -> HashMap<ServiceName, Arc<ServicePlan>> {
+fn service_plans(bundle: &Bundle) -> HashMap<ServiceName, Arc<ServicePlan>> {
     let services = bundle.services.iter();
     services
-        .map(|(name, service)| (name.clone(), Arc::new(plan(bundle, name, service))))
+        .map(|(name, service)| (name.clone(), Arc::new(service_plan(bundle, name, service))))
         .collect()
 }
 
-fn plan(bundle: &Bundle, name: &ServiceName, service: &Service) -> ServicePlan {
+fn service_plan(bundle: &Bundle, name: &ServiceName, service: &Service) -> ServicePlan {
     let model = bundle.models.get(&service.model);
     let version = model.map_or("", |model| model.version.as_str());
     let adapter = service.adapter.as_ref().map(|adapter| {
--- a/crates/pinerill-node/src/engine/mod.rs
+++ b/crates/pinerill-node/src/engine/mod.rs
@@ -1,4 +1,5 @@
-//! Towards engines: frames, their assembly into an answer, and the client.
+//! HTTP client for engines, and the parsing and assembly of their streamed
+//! answers.
 
 mod answer_reader;
 mod assembly;
@@ -7,7 +8,7 @@
 mod sse;
 
 pub use answer_reader::{AnswerReader, DroppedFrames, Progress};
-pub use assembly::{Accepted, Assembly, Finish};
+pub use assembly::{Assembly, Finish, FrameOutcome};
 pub use client::{
     error_chain, worker_client, AttachError, CancelAnswer, EngineCall, EngineClient, PauseAnswer,
     Priority, Refusal, SendError, SendOutcome,
