--- a/crates/pinerill-node/src/membership/engine.rs
+++ b/crates/pinerill-node/src/membership/engine.rs
@@ -173,7 +173,7 @@
         metrics: &Metrics,
     ) -> ReportChanges {
         let own = self.online.load(Ordering::Relaxed);
-        let changes = self.load.lock().apply_report(now_ms, apply_report, own);
+        let changes = self.load.lock().apply_report(now_ms, report, own);
         metrics.preemptions.inc_by(changes.preemptions);
         self.preemptions
             .fetch_add(changes.preemptions, Ordering::Relaxed);
