--- a/crates/pinerill-node/src/batch/run.rs
+++ b/crates/pinerill-node/src/batch/run.rs
@@ -116,7 +116,7 @@
         let service = self.run.plan.name.as_str();
         let encoder = Encoder::new(self.kind, id, service, clock::unix_ms() / 1_000);
         let text = self.run.partial.reader.take_text();
-        RunEnd::Completed(encoder.whole(&text, finish))
+        RunEnd::Completed(encoder.complete_body(&text, finish))
     }
 
     /// Sends the item and waits for the head of the answer.
--- a/crates/pinerill-node/src/gateway/online.rs
+++ b/crates/pinerill-node/src/gateway/online.rs
@@ -13,7 +13,7 @@
 use crate::clock;
 use crate::failure::{FailureCode, RequestFailure};
 use crate::node::Node;
-use crate::online::{execute, Encoder, Event, RequestKind, EVENTS_IN_FLIGHT};
+use crate::online::{execute, Encoder, Event, RequestKind, EVENT_BUFFER_CAPACITY};
 
 /// `POST /v1/completions`
 #[post("/v1/completions", data = "<data>")]
@@ -83,7 +83,7 @@
     let service = request.plan.name.as_str();
     let encoder = Encoder::new(kind, &id, service, clock::unix_ms() / 1_000);
     let stream = request.parsed.stream;
-    let (sender, events) = mpsc::channel(EVENTS_IN_FLIGHT);
+    let (sender, events) = mpsc::channel(EVENT_BUFFER_CAPACITY);
     tokio::spawn(execute(node.execution.clone(), request, sender));
     let reader = EventReader {
         events,
@@ -123,7 +123,7 @@
             match self.next().await {
                 Some(Event::Text(text)) => whole.push_str(&text),
                 Some(Event::Finished(finish)) => {
-                    return Answer::json(id, self.encoder.whole(&whole, &finish));
+                    return Answer::json(id, self.encoder.complete_body(&whole, &finish));
                 }
                 Some(Event::Failed(failure)) => return Answer::failure(id, failure),
                 None => return Answer::failure(id, caller_gone()),
--- a/crates/pinerill-node/src/online/answer.rs
+++ b/crates/pinerill-node/src/online/answer.rs
@@ -78,7 +78,7 @@
     }
 
     /// The whole answer.
-    pub fn whole(&self, text: &str, finish: &Finish) -> String {
+    pub fn complete_body(&self, text: &str, finish: &Finish) -> String {
         let text = json_text(text);
         let content = match self.kind {
             RequestKind::Completion => format!("\"text\":{text}"),
--- a/crates/pinerill-node/src/online/delivery.rs
+++ b/crates/pinerill-node/src/online/delivery.rs
@@ -7,7 +7,7 @@
 use crate::metrics::Metrics;
 
 /// Events that may wait for a slow caller.
-pub const EVENTS_IN_FLIGHT: usize = 32;
+pub const EVENT_BUFFER_CAPACITY: usize = 32;
 
 /// What the caller's side gets.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/pinerill-node/src/online/mod.rs
+++ b/crates/pinerill-node/src/online/mod.rs
@@ -9,7 +9,7 @@
 mod script;
 
 pub use answer::Encoder;
-pub use delivery::{Delivery, Event, EVENTS_IN_FLIGHT};
+pub use delivery::{Delivery, Event, EVENT_BUFFER_CAPACITY};
 pub use execution::{execute, ExecutionContext, OnlineRequest};
 pub use request::{parse_request, ParsedRequest, RequestKind, RequestProblem};
 pub use retry::{decide, AttemptEnd, Decision, RetryBudget, Situation};
