--- a/crates/pinerill-node/src/online/delivery.rs
+++ b/crates/pinerill-node/src/online/delivery.rs
@@ -1,4 +1,5 @@
-//! From an engine's bytes to the events that the caller's side encodes.
+//! Decodes the bytes that an engine streams and forwards the answer as events
+//! to the gateway, which encodes them for the caller.
 
 use tokio::sync::mpsc;
 
@@ -6,28 +7,30 @@
 use crate::failure::RequestFailure;
 use crate::metrics::Metrics;
 
-/// Events that may wait for a slow caller.
+/// Capacity of the event channel of one request. When a slow caller leaves it
+/// full, reading from the engine pauses.
 pub const EVENT_BUFFER_CAPACITY: usize = 32;
 
-/// What the caller's side gets.
+/// A step of an answer, sent to the gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// More text.
+    /// Text that follows the text sent so far.
     Text(String),
-    /// The answer is whole.
+    /// The answer is complete; this is the last event.
     Finished(Finish),
-    /// The request failed.
+    /// The request failed; this is the last event.
     Failed(RequestFailure),
 }
 
-/// The answer to one request as it arrives, from one or more engines.
+/// The partial answer to one request. It is kept across attempts, so that
+/// another connection or another engine can continue it.
 pub struct Delivery {
     reader: AnswerReader,
     events: mpsc::Sender<Event>,
 }
 
 impl Delivery {
-    /// An empty answer whose events go to `events`.
+    /// Creates an empty answer that sends its events to `events`.
     pub fn new(request_id: &str, events: mpsc::Sender<Event>) -> Self {
         Self {
             reader: AnswerReader::new(request_id),
@@ -35,30 +38,34 @@
         }
     }
 
-    /// Number of tokens so far.
+    /// Returns the number of tokens received so far, which is the offset from
+    /// which an engine continues the answer.
     pub fn next_offset(&self) -> u32 {
         self.reader.next_offset()
     }
 
-    /// Forgets the unfinished event of a connection that is no more.
+    /// Prepares for the bytes of a new connection: discards the incomplete
+    /// event that the previous connection left.
     pub fn start_connection(&mut self) {
         self.reader.start_connection();
     }
 
-    /// Completes when the caller has gone.
+    /// Completes when the caller has disconnected.
     pub async fn caller_gone(&self) {
         self.events.closed().await;
     }
 
-    /// Takes bytes in; the text of all their frames waits for [`Self::flush`].
-    pub fn take(&mut self, bytes: &[u8], metrics: &Metrics) -> Progress {
+    /// Decodes bytes from the engine and buffers their text until
+    /// [`Self::flush`].
+    pub fn decode(&mut self, bytes: &[u8], metrics: &Metrics) -> Progress {
         let progress = self.reader.take(bytes);
         metrics.count_reading(&mut self.reader, &progress);
         progress
     }
 
-    /// Hands the text that waits to the caller's side as one event. Returns
-    /// whether there was any; a caller who has gone is seen elsewhere.
+    /// Sends the buffered text as one event and returns whether there was any.
+    /// Waits while the channel is full. A disconnected caller is not an error
+    /// here; [`Self::caller_gone`] reports it.
     pub async fn flush(&mut self) -> bool {
         let text = self.reader.take_text();
         if text.is_empty() {
@@ -68,13 +75,14 @@
         true
     }
 
-    /// Hands the last event over.
-    pub async fn end(&self, event: Event) {
+    /// Sends the last event.
+    pub async fn send_last(&self, event: Event) {
         let _ = self.events.send(event).await;
     }
 
-    /// Hands text over that did not come in frames (old scripts).
-    pub async fn text(&self, text: String) {
+    /// Sends text that did not arrive in engine frames, such as the text from a
+    /// script back end.
+    pub async fn send_text(&self, text: String) {
         let _ = self.events.send(Event::Text(text)).await;
     }
 }
--- a/crates/pinerill-node/src/online/execution.rs
+++ b/crates/pinerill-node/src/online/execution.rs
@@ -1,9 +1,10 @@
-//! Runs one online request: a place at an engine, the answer's frames, resume
-//! after a cut, retries elsewhere, and the one final answer.
+//! Runs one online request: acquires a slot at an engine, reads the answer,
+//! resumes it after a lost connection, retries at other engines, and sends
+//! exactly one final event unless the caller disconnects first.
 
 mod attempt;
 mod failure;
-mod placing;
+mod placement;
 mod reading;
 
 use pinerill_process::clock::{timeout_at, BootTime};
@@ -16,7 +17,7 @@
 
 use super::delivery::{Delivery, Event};
 use super::request::{ParsedRequest, RequestKind};
-use super::retry::{decide, AttemptEnd, Decision, RetryBudget, Situation};
+use super::retry::{decide, AttemptEnd, Decision, RetryBudget, RetryContext};
 use super::script;
 use crate::configuration::ServicePlan;
 use crate::dispatcher::{Dispatcher, PendingPrefill};
@@ -27,50 +28,51 @@
 pub(super) use failure::AttemptFailure;
 use failure::{final_failure, AttemptStop, Stop};
 
-/// What every execution shares.
+/// State that all executions of a node share.
 pub struct ExecutionContext {
-    /// Workers and engines.
+    /// Known workers and their engines.
     pub fleet: Arc<Fleet>,
-    /// Places and queues.
+    /// Assigns slots at engines and queues requests that wait for one.
     pub dispatcher: Arc<Dispatcher>,
-    /// Counters.
+    /// Metrics of this node.
     pub metrics: Arc<Metrics>,
-    /// Connections to old scripts.
+    /// HTTP client for script back ends.
     pub scripts: reqwest::Client,
     /// Retry budget of each service.
     pub budgets: Mutex<HashMap<ServiceName, RetryBudget>>,
 }
 
-/// One online request, admitted.
+/// An online request that passed admission.
 #[derive(Debug)]
 pub struct OnlineRequest {
-    /// Its identifier, the same at the engine.
+    /// Identifier, which is also sent to the engine.
     pub id: String,
-    /// Which call it is.
+    /// Which API call the request makes.
     pub kind: RequestKind,
-    /// Its body.
+    /// Parsed request body.
     pub parsed: ParsedRequest,
-    /// Its service.
+    /// Configuration of the requested service.
     pub plan: Arc<ServicePlan>,
-    /// Whose it is.
+    /// Tenant that sent the request.
     pub tenant: TenantName,
-    /// Never to be repeated.
+    /// Whether the request must not be repeated once it may have run.
     pub at_most_once: bool,
-    /// It goes to the old script.
+    /// Whether the first attempt goes to the service's script back end.
     pub to_script: bool,
-    /// When it arrived.
+    /// Time of arrival at this node.
     pub received: BootTime,
-    /// When its answer must be whole.
+    /// Time by which the answer must be complete.
     pub deadline: BootTime,
 }
 
-/// Runs `request` to its end; everything the caller gets goes to `events`.
+/// Runs `request` to completion and sends its text and its last event to
+/// `events`.
 pub async fn execute(
     context: Arc<ExecutionContext>,
     request: OnlineRequest,
     events: mpsc::Sender<Event>,
 ) {
-    note_fresh(&context, &request);
+    credit_retry_budget(&context, &request);
     let delivery = Delivery::new(&request.id, events);
     let mut execution = Execution::new(context.clone(), request, delivery);
     let end = execution.run().await;
@@ -80,12 +82,12 @@
             let tokens = u64::from(finish.usage.completion_tokens);
             metrics.tokens.with_label_values(&["online"]).inc_by(tokens);
             metrics.requests.with_label_values(&["completed"]).inc();
-            execution.delivery.end(Event::Finished(finish)).await;
+            execution.delivery.send_last(Event::Finished(finish)).await;
         }
         Err(Stop::Failed(failure)) => {
             let code = failure.code.word();
             metrics.requests.with_label_values(&[code]).inc();
-            execution.delivery.end(Event::Failed(failure)).await;
+            execution.delivery.send_last(Event::Failed(failure)).await;
         }
         Err(Stop::CallerGone) => {
             metrics.requests.with_label_values(&["caller_gone"]).inc();
@@ -93,27 +95,36 @@
     }
 }
 
-fn note_fresh(context: &ExecutionContext, request: &OnlineRequest) {
+/// Adds the share of a new request to the retry budget of its service.
+fn credit_retry_budget(context: &ExecutionContext, request: &OnlineRequest) {
     let percent = request.plan.settings.retry_budget_percent;
     let mut budgets = context.budgets.lock();
     let budget = budgets.entry(request.plan.name.clone()).or_default();
-    budget.fresh(percent);
+    budget.add_request(percent);
 }
 
+/// Progress of one request across its attempts.
 struct Execution {
     context: Arc<ExecutionContext>,
     request: OnlineRequest,
     delivery: Delivery,
+    /// Hashes of the prompt's blocks, used for prefix-cache routing.
     blocks: Arc<Vec<u64>>,
-    tried: Vec<EngineId>,
-    heard: Vec<EngineId>,
+    /// Engines at which an attempt failed. The dispatcher avoids them as long as
+    /// another engine can serve the request.
+    tried_engines: Vec<EngineId>,
+    /// Engines that may have received the request.
+    reached_engines: Vec<EngineId>,
     attempts: u32,
-    maybe_run: bool,
+    /// Whether any attempt so far may have run.
+    may_have_run: bool,
     first_token_seen: bool,
-    /// Until the engine has given the first token of an attempt.
+    /// Counts the prompt as pending prefill of the engine until the attempt
+    /// delivers its first text.
     pending_prefill: Option<PendingPrefill>,
-    /// The version that gave the first text.
-    begun_with: Option<Served>,
+    /// Model version that generated the first text, if there is any. Only the
+    /// same version can continue the answer.
+    served_version: Option<Served>,
 }
 
 impl Execution {
@@ -125,13 +136,13 @@
             request,
             delivery,
             blocks: Arc::new(blocks),
-            tried: Vec::new(),
-            heard: Vec::new(),
+            tried_engines: Vec::new(),
+            reached_engines: Vec::new(),
             attempts: 0,
-            maybe_run: false,
+            may_have_run: false,
             first_token_seen: false,
             pending_prefill: None,
-            begun_with: None,
+            served_version: None,
         }
     }
 
@@ -143,24 +154,25 @@
             }
         }
         loop {
-            let mut place = self.acquire().await?;
-            self.pending_prefill = place.pending_prefill.take();
+            let mut slot = self.acquire().await?;
+            self.pending_prefill = slot.pending_prefill.take();
             self.attempts += 1;
             let target = self.context.metrics.targets.with_label_values(&["engine"]);
             target.inc();
-            let failure = match self.attempt(&place).await {
+            let failure = match self.attempt(&slot).await {
                 Ok(finish) => return Ok(finish),
                 Err(AttemptStop::CallerGone) => return Err(Stop::CallerGone),
                 Err(AttemptStop::Failure(failure)) => failure,
             };
-            self.tried.push(place.engine.id.clone());
+            self.tried_engines.push(slot.engine.id.clone());
             self.pending_prefill = None;
-            drop(place);
-            self.after_failure(failure)?;
+            drop(slot);
+            self.decide_after_failure(failure)?;
         }
     }
 
-    /// None: it did not come through there, and may go to engines.
+    /// Runs the request at its script back end. Returns `None` if the attempt
+    /// failed and the request may be retried at engines.
     async fn run_at_script(&mut self) -> Result<Option<Finish>, Stop> {
         self.context
             .metrics
@@ -178,21 +190,22 @@
             Ok(Err(failure)) => failure,
             Err(_) => script::deadline_failure(&self.request),
         };
-        self.after_failure(failure)?;
+        self.decide_after_failure(failure)?;
         Ok(None)
     }
 
-    /// Decides after a failed attempt; Ok means: try elsewhere.
-    fn after_failure(&mut self, failure: AttemptFailure) -> Result<(), Stop> {
-        let situation = Situation {
+    /// Decides what follows a failed attempt. `Ok` means that the request is
+    /// retried at another back end.
+    fn decide_after_failure(&mut self, failure: AttemptFailure) -> Result<(), Stop> {
+        let retry_context = RetryContext {
             at_most_once: self.request.at_most_once,
             attempts: self.attempts,
-            maybe_run_before: self.maybe_run,
+            earlier_may_have_run: self.may_have_run,
             can_continue: failure.can_continue,
             expired: BootTime::now() >= self.request.deadline,
         };
-        self.maybe_run |= failure.end == AttemptEnd::MaybeRun;
-        match decide(&failure.end, situation, || self.take_budget()) {
+        self.may_have_run |= failure.end == AttemptEnd::MayHaveRun;
+        match decide(&failure.end, retry_context, || self.take_budget()) {
             Decision::Retry => {
                 self.context.metrics.retries.inc();
                 Ok(())
@@ -205,7 +218,7 @@
         let percent = self.request.plan.settings.retry_budget_percent;
         let mut budgets = self.context.budgets.lock();
         let budget = budgets.entry(self.request.plan.name.clone()).or_default();
-        let taken = budget.take(percent);
+        let taken = budget.try_take(percent);
         if !taken {
             self.context.metrics.retries_denied.inc();
         }
--- a/crates/pinerill-node/src/online/execution/attempt.rs
+++ b/crates/pinerill-node/src/online/execution/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt at one engine, up to the head of the answer.
+//! Runs one attempt at one engine: optional prefill at another engine, sending
+//! the request, and the handling of refusals and interrupts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,14 +16,16 @@
 use crate::online::prefill::{choose_prefill, prepare_prefill};
 use crate::online::retry::AttemptEnd;
 
-/// Longest wait for a cancel whose answer decides the outcome.
-const CANCEL_DECIDES: Duration = Duration::from_millis(100);
-/// Longest wait for a cancel that nothing depends on.
-const CANCEL_DETACHED: Duration = Duration::from_secs(2);
+/// Timeout of a cancel whose answer decides whether the request may have run.
+const AWAITED_CANCEL_TIMEOUT: Duration = Duration::from_millis(100);
+/// Timeout of a cancel that runs in the background and whose answer is ignored.
+const BACKGROUND_CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Execution {
-    pub(super) async fn attempt(&mut self, place: &Place) -> Result<Finish, AttemptStop> {
-        let engine = place.engine.clone();
+    /// Runs the request at the engine of `slot` until the answer is complete or
+    /// the attempt fails.
+    pub(super) async fn attempt(&mut self, slot: &Place) -> Result<Finish, AttemptStop> {
+        let engine = slot.engine.clone();
         let Some(served) = engine.serves(&self.request.plan) else {
             let message = "it no longer holds the model".to_owned();
             let mut failure = self.failure(&engine, AttemptEnd::NotRun, "choose", message);
@@ -31,37 +34,41 @@
         };
         let kv_handle = match self.prefill(&engine, &served).await {
             Ok(kv_handle) => kv_handle,
-            Err(interrupt) => return Err(self.interrupted(&engine, interrupt).await),
+            Err(interrupt) => return Err(self.handle_interrupt(&engine, interrupt).await),
         };
         let sent = match self.send(&engine, &served, kv_handle).await {
             Ok(sent) => sent,
-            Err(interrupt) => return Err(self.interrupted(&engine, interrupt).await),
+            Err(interrupt) => return Err(self.handle_interrupt(&engine, interrupt).await),
         };
         let response = match sent {
             Ok(SendOutcome::Answer(response)) => {
-                self.heard.push(engine.id.clone());
+                self.reached_engines.push(engine.id.clone());
                 response
             }
-            Ok(SendOutcome::Refused(refusal)) => self.refused(&engine, &served, refusal).await?,
+            Ok(SendOutcome::Refused(refusal)) => {
+                self.handle_refusal(&engine, &served, refusal).await?
+            }
             Err(SendError::NotSent(message)) => {
                 self.context.fleet.connection_failed(&engine.worker);
                 let failure = self.failure(&engine, AttemptEnd::NotRun, "connect", message);
                 return Err(AttemptStop::Failure(failure));
             }
             Err(SendError::MaybeHeard(message)) => {
-                self.heard.push(engine.id.clone());
+                self.reached_engines.push(engine.id.clone());
                 self.resume(&engine, "send", message).await?
             }
         };
-        let ended = self.read(&engine, response).await;
+        let ended = self.read_answer(&engine, response).await;
         if self.delivery.next_offset() > 0 {
-            self.begun_with = Some(served);
+            self.served_version = Some(served);
         }
         ended
     }
 
-    /// Once another engine has begun the prefill, part of the request may have
-    /// run, whatever becomes of the rest.
+    /// Prefills the prompt at another engine if that pays, and returns the
+    /// handle of the KV cache. From the start of such a prefill on, the request
+    /// counts as one that may have run. Requests that must not be repeated and
+    /// continued answers are never prefilled elsewhere.
     async fn prefill(
         &mut self,
         engine: &Engine,
@@ -74,9 +81,9 @@
         let Some(prefiller) = choose_prefill(fleet, &self.request, engine, served) else {
             return Ok(None);
         };
-        self.maybe_run = true;
+        self.may_have_run = true;
         let prepared = prepare_prefill(&self.request, &prefiller, engine, served);
-        self.guarded(prepared).await
+        self.interruptible(prepared).await
     }
 
     async fn send(
@@ -98,17 +105,17 @@
             continue_from,
             body: self.request.parsed.body(&served.model, true),
         };
-        self.guarded(engine.client.send(call)).await
+        self.interruptible(engine.client.send(call)).await
     }
 
-    /// Runs `work` unless the deadline passes or the caller goes.
-    pub(super) async fn guarded<T>(
+    /// Waits for `work` until the deadline passes or the caller disconnects.
+    pub(super) async fn interruptible<T>(
         &self,
         work: impl std::future::Future<Output = T>,
     ) -> Result<T, Interrupt> {
         tokio::select! {
             biased;
-            done = work => Ok(done),
+            output = work => Ok(output),
             () = self.delivery.caller_gone() => Err(Interrupt::CallerGone),
             () = sleep_until(self.request.deadline) => {
                 Err(Interrupt::Deadline)
@@ -116,15 +123,16 @@
         }
     }
 
-    /// The engine refused; a refusal of what it has from this very request
-    /// becomes an attach.
-    async fn refused(
+    /// Handles a refusal by the engine. If the engine refuses a duplicate of
+    /// this request because an earlier attempt reached it, attaches to the
+    /// running request instead and returns its response.
+    async fn handle_refusal(
         &mut self,
         engine: &Arc<Engine>,
         served: &Served,
         refusal: Refusal,
     ) -> Result<Response, AttemptStop> {
-        if refusal.is_duplicate() && self.heard.contains(&engine.id) {
+        if refusal.is_duplicate() && self.reached_engines.contains(&engine.id) {
             return self.resume(engine, "send", refusal.message).await;
         }
         if refusal.is_leaving() {
@@ -139,7 +147,7 @@
         let end = if refusal.not_started {
             AttemptEnd::NotRun
         } else {
-            AttemptEnd::MaybeRun
+            AttemptEnd::MayHaveRun
         };
         let message = format!("{}: {}", refusal.code, refusal.message);
         let mut failure = self.failure(engine, end, "start", message);
@@ -148,18 +156,20 @@
         Err(AttemptStop::Failure(failure))
     }
 
-    pub(super) async fn interrupted(
+    /// Cancels the request at the engine after an interrupt. After a missed
+    /// deadline, the cancel's answer decides whether the request may have run.
+    pub(super) async fn handle_interrupt(
         &self,
         engine: &Arc<Engine>,
         interrupt: Interrupt,
     ) -> AttemptStop {
         if matches!(interrupt, Interrupt::CallerGone) {
-            self.cancel_detached(engine);
+            self.cancel_in_background(engine);
             return AttemptStop::CallerGone;
         }
         let end = match self.cancel(engine).await {
             CancelAnswer::NotStarted => AttemptEnd::NotRun,
-            _ => AttemptEnd::MaybeRun,
+            _ => AttemptEnd::MayHaveRun,
         };
         let message = "the deadline passed".to_owned();
         let mut failure = self.failure(engine, end, "await answer", message);
@@ -170,13 +180,16 @@
 
     pub(super) async fn cancel(&self, engine: &Engine) -> CancelAnswer {
         self.context.metrics.engine_cancels.inc();
-        engine.client.cancel(&self.request.id, CANCEL_DECIDES).await
+        engine
+            .client
+            .cancel(&self.request.id, AWAITED_CANCEL_TIMEOUT)
+            .await
     }
 
-    pub(super) fn cancel_detached(&self, engine: &Engine) {
+    pub(super) fn cancel_in_background(&self, engine: &Engine) {
         self.context.metrics.engine_cancels.inc();
         let client = engine.client.clone();
         let id = self.request.id.clone();
-        tokio::spawn(async move { client.cancel(&id, CANCEL_DETACHED).await });
+        tokio::spawn(async move { client.cancel(&id, BACKGROUND_CANCEL_TIMEOUT).await });
     }
 }
--- a/crates/pinerill-node/src/online/execution/failure.rs
+++ b/crates/pinerill-node/src/online/execution/failure.rs
@@ -1,4 +1,5 @@
-//! How attempts and requests fail.
+//! Failures of attempts, and their conversion to the failure that the caller
+//! receives.
 
 use pinerill_types::outcome::Outcome;
 
@@ -8,60 +9,61 @@
 use crate::membership::Engine;
 use crate::online::retry::AttemptEnd;
 
-/// When to come back after a failure that says nothing better, milliseconds.
-pub(super) const RETRY_AFTER_DEFAULT_MS: u64 = 1_000;
+/// Delay after which a caller may retry if the failure implies no better one,
+/// in milliseconds.
+pub(super) const DEFAULT_RETRY_AFTER_MS: u64 = 1_000;
 
-/// Why a request stops without its answer.
+/// Why a request ends without an answer.
 #[derive(Debug)]
 pub(super) enum Stop {
-    /// The final answer.
+    /// The request failed; the caller receives this failure.
     Failed(RequestFailure),
-    /// Nobody waits for it any more.
+    /// The caller disconnected, so no failure is sent.
     CallerGone,
 }
 
-/// An attempt that ended without the whole answer.
+/// Describes an attempt that ended without a complete answer.
 #[derive(Debug)]
 pub(in crate::online) struct AttemptFailure {
-    /// Whether it may have run.
+    /// Whether the request may have run during the attempt.
     pub(in crate::online) end: AttemptEnd,
-    /// Whether another attempt makes sense.
+    /// Whether an attempt at another back end can succeed.
     pub(in crate::online) can_continue: bool,
-    /// What a caller is told if this was the last.
+    /// Code that the caller receives if no further attempt follows.
     pub(in crate::online) code: FailureCode,
-    /// The step that failed.
+    /// Step of the attempt that failed.
     pub(in crate::online) step: &'static str,
-    /// The peer it was with.
+    /// Engine or script address at which the attempt ran.
     pub(in crate::online) peer: String,
-    /// What went wrong.
+    /// Description of the cause.
     pub(in crate::online) message: String,
 }
 
-/// What ends work that waits.
+/// Why a pending operation was interrupted.
 pub(super) enum Interrupt {
-    /// The deadline passed.
+    /// The deadline of the request passed.
     Deadline,
-    /// Nobody waits for the answer any more.
+    /// The caller disconnected.
     CallerGone,
 }
 
-/// Why an attempt stops without its answer.
+/// Why an attempt ends without a complete answer.
 pub(super) enum AttemptStop {
-    /// It failed.
+    /// The attempt failed; a retry may follow.
     Failure(AttemptFailure),
-    /// Nobody waits for the answer any more.
+    /// The caller disconnected.
     CallerGone,
 }
 
 impl Execution {
     pub(super) fn ended_by_engine(&self, engine: &Engine) -> AttemptStop {
         let message = "the engine ended the request early".to_owned();
-        AttemptStop::Failure(self.failure(engine, AttemptEnd::MaybeRun, "read", message))
+        AttemptStop::Failure(self.failure(engine, AttemptEnd::MayHaveRun, "read", message))
     }
 
-    pub(super) fn wrong_digest(&self, engine: &Engine) -> AttemptStop {
+    pub(super) fn digest_mismatch(&self, engine: &Engine) -> AttemptStop {
         let message = "the digest over the whole answer does not fit".to_owned();
-        let mut failure = self.failure(engine, AttemptEnd::MaybeRun, "verify", message);
+        let mut failure = self.failure(engine, AttemptEnd::MayHaveRun, "verify", message);
         failure.can_continue = false;
         AttemptStop::Failure(failure)
     }
@@ -84,7 +86,7 @@
     }
 }
 
-/// What a caller is told of a refusal that was the last.
+/// Returns the code that the caller receives if the refusal ends the request.
 pub(super) fn refusal_code(refusal: &Refusal) -> FailureCode {
     match refusal.code.as_str() {
         "queue_full" => FailureCode::Overloaded,
@@ -95,9 +97,11 @@
     }
 }
 
-/// The final answer after an attempt's failure.
+/// Converts the failure of the last attempt to the failure that the caller
+/// receives. Failures that a retry by the caller cannot fix carry no
+/// retry delay.
 pub(super) fn final_failure(failure: AttemptFailure, outcome: Outcome) -> RequestFailure {
-    let comes_back = !matches!(
+    let caller_may_retry = !matches!(
         failure.code,
         FailureCode::InvalidRequest | FailureCode::DuplicateRequest
     );
@@ -107,6 +111,6 @@
         step: failure.step,
         peer: failure.peer,
         message: failure.message,
-        retry_after_ms: comes_back.then_some(RETRY_AFTER_DEFAULT_MS),
+        retry_after_ms: caller_may_retry.then_some(DEFAULT_RETRY_AFTER_MS),
     }
 }
--- a/crates/pinerill-node/src/online/execution/placing.rs
+++ b/crates/pinerill-node/src/online/execution/placement.rs
@@ -1,58 +1,63 @@
-//! A place at an engine, or why there is none.
+//! Acquires a slot at an engine, or reports why none is available.
 
 use std::time::Duration;
 
 use pinerill_process::clock::BootTime;
 use pinerill_types::outcome::Outcome;
 
-use super::failure::{Stop, RETRY_AFTER_DEFAULT_MS};
+use super::failure::{Stop, DEFAULT_RETRY_AFTER_MS};
 use super::Execution;
 use crate::dispatcher::{Demand, NoPlace, Place};
 use crate::failure::{FailureCode, RequestFailure};
 
-/// Bytes of a prompt that count as one token.
+/// Prompt bytes per token, used to estimate the prompt's length in tokens.
 const PROMPT_BYTES_PER_TOKEN: usize = 4;
 
 impl Execution {
+    /// Waits for a slot, at most for the service's `queue_ms` and until the
+    /// deadline.
     pub(super) async fn acquire(&self) -> Result<Place, Stop> {
         let demand = Demand {
             plan: self.request.plan.clone(),
             tenant: self.request.tenant.clone(),
             prompt_tokens: (self.request.parsed.prompt.len() / PROMPT_BYTES_PER_TOKEN) as u32,
             blocks: self.blocks.clone(),
-            excluded: self.tried.clone(),
-            begun_with: self.begun_with.clone(),
+            excluded: self.tried_engines.clone(),
+            begun_with: self.served_version.clone(),
         };
-        let left = self.request.deadline.remaining();
-        let patience = Duration::from_millis(self.request.plan.settings.queue_ms).min(left);
+        let remaining = self.request.deadline.remaining();
+        let max_wait = Duration::from_millis(self.request.plan.settings.queue_ms).min(remaining);
         let acquired = tokio::select! {
-            acquired = self.context.dispatcher.acquire(demand, patience) => acquired,
+            acquired = self.context.dispatcher.acquire(demand, max_wait) => acquired,
             () = self.delivery.caller_gone() => return Err(Stop::CallerGone),
         };
-        acquired.map_err(|no_place| Stop::Failed(self.no_place(no_place)))
+        acquired.map_err(|reason| Stop::Failed(self.acquire_failure(reason)))
     }
 
-    fn no_place(&self, no_place: NoPlace) -> RequestFailure {
+    /// Returns the failure of a request that got no slot. The outcome is unknown
+    /// if an earlier attempt may have run.
+    fn acquire_failure(&self, reason: NoPlace) -> RequestFailure {
         let expired = BootTime::now() >= self.request.deadline;
-        let (code, message, after) = match no_place {
+        let (code, message, retry_after_ms) = match reason {
             _ if expired => (
                 FailureCode::DeadlineExceeded,
                 "the deadline passed before there was a place",
-                RETRY_AFTER_DEFAULT_MS,
+                DEFAULT_RETRY_AFTER_MS,
             ),
             NoPlace::NoBackend => (
                 FailureCode::NoBackend,
                 "no engine serves this service here",
-                RETRY_AFTER_DEFAULT_MS,
+                DEFAULT_RETRY_AFTER_MS,
             ),
-            NoPlace::Overloaded(after) => (
+            NoPlace::Overloaded(retry_after_ms) => (
                 FailureCode::Overloaded,
                 "it would wait for a place longer than the service allows",
-                after,
+                retry_after_ms,
             ),
         };
-        let mut failure = RequestFailure::not_run(code, "queue", message).retry_after(after);
-        if self.maybe_run {
+        let mut failure =
+            RequestFailure::not_run(code, "queue", message).retry_after(retry_after_ms);
+        if self.may_have_run {
             failure.outcome = Outcome::Unknown;
         }
         failure
--- a/crates/pinerill-node/src/online/execution/reading.rs
+++ b/crates/pinerill-node/src/online/execution/reading.rs
@@ -1,4 +1,5 @@
-//! Reads an answer to its end, over as many connections as it takes.
+//! Reads an answer from an engine and reconnects to the same engine when the
+//! connection breaks.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,41 +13,46 @@
 use crate::membership::{note_load, Engine};
 use crate::online::retry::AttemptEnd;
 
-/// Silence of an engine after which its stream counts as cut.
-const STALL: Duration = Duration::from_secs(10);
-/// Pauses before each try to resume, milliseconds.
-const RESUME_PAUSES_MS: [u64; 3] = [0, 50, 200];
-/// Further pauses of a request that can't go on elsewhere.
-const RESUME_PATIENT_PAUSES_MS: [u64; 3] = [500, 1_000, 2_000];
-/// Resumes without a new token after which a stream counts as lost.
-const FRUITLESS_RESUMES_LIMIT: u32 = 3;
+/// Time without data after which a connection counts as broken.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Delays before each attempt to resume, in milliseconds.
+const RESUME_DELAYS_MS: [u64; 3] = [0, 50, 200];
+/// Additional delays for a request that must not be repeated and therefore
+/// cannot continue at another engine, in milliseconds.
+const EXTRA_RESUME_DELAYS_MS: [u64; 3] = [500, 1_000, 2_000];
+/// Number of consecutive connections without a new token that are tolerated. The
+/// attempt fails when one more such connection breaks.
+const MAX_CONNECTIONS_WITHOUT_PROGRESS: u32 = 3;
 
 impl Execution {
-    pub(super) async fn read(
+    /// Reads the answer to its end. Each broken connection is resumed until
+    /// [`MAX_CONNECTIONS_WITHOUT_PROGRESS`] is exceeded.
+    pub(super) async fn read_answer(
         &mut self,
         engine: &Arc<Engine>,
         mut response: Response,
     ) -> Result<Finish, AttemptStop> {
-        let mut fruitless = 0;
+        let mut connections_without_progress = 0;
         let mut offset = self.delivery.next_offset();
         loop {
             let broken = match self.read_connection(engine, &mut response).await? {
                 Ok(finish) => return Ok(finish),
                 Err(broken) => broken,
             };
-            fruitless += 1;
+            connections_without_progress += 1;
             if self.delivery.next_offset() > offset {
                 offset = self.delivery.next_offset();
-                fruitless = 0;
+                connections_without_progress = 0;
             }
-            if fruitless > FRUITLESS_RESUMES_LIMIT {
-                return Err(self.lost(engine, "read", broken).await);
+            if connections_without_progress > MAX_CONNECTIONS_WITHOUT_PROGRESS {
+                return Err(self.abandon_engine(engine, "read", broken).await);
             }
             response = self.resume(engine, "read", broken).await?;
         }
     }
 
-    /// Reads one connection to its end: the whole answer, or why it broke.
+    /// Reads one connection to its end. The inner result is the end of the
+    /// complete answer, or the reason why the connection broke.
     async fn read_connection(
         &mut self,
         engine: &Arc<Engine>,
@@ -56,39 +62,41 @@
         note_load(&self.context.fleet, engine, response);
         loop {
             let chunk = self
-                .guarded(tokio::time::timeout(STALL, response.chunk()))
+                .interruptible(tokio::time::timeout(IDLE_TIMEOUT, response.chunk()))
                 .await;
             let bytes = match chunk {
-                Err(interrupt) => return Err(self.interrupted(engine, interrupt).await),
+                Err(interrupt) => return Err(self.handle_interrupt(engine, interrupt).await),
                 Ok(Err(_)) => return Ok(Err("the engine is silent".to_owned())),
                 Ok(Ok(Err(error))) => return Ok(Err(error_chain(&error))),
                 Ok(Ok(Ok(None))) => return Ok(Err("the stream ended early".to_owned())),
                 Ok(Ok(Ok(Some(bytes)))) => bytes,
             };
-            let progress = self.delivery.take(&bytes, &self.context.metrics);
+            let progress = self.delivery.decode(&bytes, &self.context.metrics);
             if let Err(interrupt) = self.flush().await {
-                return Err(self.interrupted(engine, interrupt).await);
+                return Err(self.handle_interrupt(engine, interrupt).await);
             }
             match progress {
                 Progress::Continues => {}
                 Progress::Finished(finish) => return Ok(Ok(finish)),
                 Progress::Broken(message) => return Ok(Err(message.to_owned())),
                 Progress::Cancelled => return Err(self.ended_by_engine(engine)),
-                Progress::WrongDigest => return Err(self.wrong_digest(engine)),
+                Progress::WrongDigest => return Err(self.digest_mismatch(engine)),
             }
         }
     }
 
+    /// Sends the decoded text to the gateway and records the time to the first
+    /// token.
     async fn flush(&mut self) -> Result<(), Interrupt> {
         let deadline = self.request.deadline;
         let flushed = timeout_at(deadline, self.delivery.flush()).await;
-        let Ok(text) = flushed else {
+        let Ok(text_sent) = flushed else {
             return Err(Interrupt::Deadline);
         };
-        if text {
+        if text_sent {
             self.pending_prefill = None;
         }
-        if text && !self.first_token_seen {
+        if text_sent && !self.first_token_seen {
             self.first_token_seen = true;
             let waited = self.request.received.elapsed().as_secs_f64();
             let service = self.request.plan.name.as_str();
@@ -98,26 +106,27 @@
         Ok(())
     }
 
-    /// Attaches to the request at the same engine.
+    /// Attaches again to the request at the same engine, once after each of the
+    /// resume delays. Fails if the engine does not know the request or stays unreachable.
     pub(super) async fn resume(
         &mut self,
         engine: &Arc<Engine>,
         step: &'static str,
         cause: String,
     ) -> Result<Response, AttemptStop> {
-        let patient = if self.request.at_most_once {
-            &RESUME_PATIENT_PAUSES_MS[..]
+        let extra_delays = if self.request.at_most_once {
+            &EXTRA_RESUME_DELAYS_MS[..]
         } else {
             &[]
         };
-        for pause in RESUME_PAUSES_MS.iter().chain(patient) {
+        for delay_ms in RESUME_DELAYS_MS.iter().chain(extra_delays) {
             let offset = self.delivery.next_offset();
             let attach = async {
-                tokio::time::sleep(Duration::from_millis(*pause)).await;
+                tokio::time::sleep(Duration::from_millis(*delay_ms)).await;
                 engine.client.attach(&self.request.id, offset).await
             };
-            match self.guarded(attach).await {
-                Err(interrupt) => return Err(self.interrupted(engine, interrupt).await),
+            match self.interruptible(attach).await {
+                Err(interrupt) => return Err(self.handle_interrupt(engine, interrupt).await),
                 Ok(Ok(response)) => {
                     self.context.metrics.resumes.inc();
                     return Ok(response);
@@ -128,20 +137,27 @@
                 }
             }
         }
-        Err(self.lost(engine, step, cause).await)
+        Err(self.abandon_engine(engine, step, cause).await)
     }
 
-    /// The engine's work is out of reach. A request that can't be repeated
-    /// asks once more whether it ever ran.
-    async fn lost(&self, engine: &Arc<Engine>, step: &'static str, cause: String) -> AttemptStop {
-        let mut end = AttemptEnd::MaybeRun;
+    /// Gives up on an engine that cannot be reached or makes no progress, and
+    /// cancels the request there. For a request that must not be repeated,
+    /// waits for the cancel's answer: if the request had not started, a retry
+    /// is safe.
+    async fn abandon_engine(
+        &self,
+        engine: &Arc<Engine>,
+        step: &'static str,
+        cause: String,
+    ) -> AttemptStop {
+        let mut end = AttemptEnd::MayHaveRun;
         if self.request.at_most_once {
             let answer = self.cancel(engine).await;
             if answer == CancelAnswer::NotStarted {
                 end = AttemptEnd::NotRun;
             }
         } else {
-            self.cancel_detached(engine);
+            self.cancel_in_background(engine);
         }
         AttemptStop::Failure(self.failure(engine, end, step, cause))
     }
--- a/crates/pinerill-node/src/online/prefill.rs
+++ b/crates/pinerill-node/src/online/prefill.rs
@@ -1,5 +1,6 @@
-//! Prefill at an engine of that role, whose KV cache the decoding engine then
-//! imports. Anything that fails here costs only the prefill at the decoder.
+//! Disaggregated prefill: an engine with the prefill role processes the prompt,
+//! and the decoding engine imports the resulting KV cache. If any step fails,
+//! the decoding engine processes the prompt itself.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,31 +10,35 @@
 use crate::engine::{EngineCall, Priority, SendOutcome};
 use crate::membership::{Engine, Fleet, Role, Served};
 
-/// Prompts below this many bytes (768 tokens, some three prefill steps) are not
-/// worth the transfer: they would wait behind long ones at the few engines that
-/// prefill, and their shared prefix is often cached where they decode.
-const PROMPT_BYTES_MINIMUM: usize = 3_072;
-/// Longest wait for the prefill.
+/// Shortest prompt, in bytes, that is prefilled at another engine: 768 tokens or
+/// about three prefill steps. For shorter prompts the transfer does not pay:
+/// they would queue behind long prompts at the few prefill engines, and the
+/// decoding engine often has their shared prefix in its cache.
+const MIN_PREFILL_PROMPT_BYTES: usize = 3_072;
+/// Timeout of the request to the prefill engine. After it, the decoding engine
+/// processes the prompt.
 const PREFILL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest wait for an export or import.
+/// Timeout of one KV cache export or import.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The engine that does the prefill of a request for `decoder`, if it pays.
+/// Returns the engine that should prefill the prompt for `decoder`. Returns
+/// `None` if `decoder` does not have the decode role, the prompt is too short,
+/// or no usable prefill engine has the same model version.
 pub fn choose_prefill(
     fleet: &Fleet,
     request: &OnlineRequest,
     decoder: &Engine,
     served: &Served,
 ) -> Option<Arc<Engine>> {
-    let long = request.parsed.prompt.len() >= PROMPT_BYTES_MINIMUM;
-    if decoder.role() != Role::Decode || !long {
+    let long_enough = request.parsed.prompt.len() >= MIN_PREFILL_PROMPT_BYTES;
+    if decoder.role() != Role::Decode || !long_enough {
         return None;
     }
     least_loaded(fleet, request, served)
 }
 
-/// The handle of a prefill by `engine` that `decoder` has imported, if it came
-/// to one.
+/// Runs the prefill at `engine` and lets `decoder` import the KV cache. Returns
+/// the handle of the imported cache, or `None` if a step failed or timed out.
 pub async fn prepare_prefill(
     request: &OnlineRequest,
     engine: &Engine,
@@ -70,7 +75,9 @@
     }
 }
 
-/// Another version's KV cache would be of no use to the decoder.
+/// Returns the usable prefill engine with the lowest online load. Only engines
+/// with the version `served` qualify, because the decoder cannot use the KV
+/// cache of another version.
 fn least_loaded(fleet: &Fleet, request: &OnlineRequest, served: &Served) -> Option<Arc<Engine>> {
     let view = fleet.view();
     let now_ms = clock::now_ms();
--- a/crates/pinerill-node/src/online/request.rs
+++ b/crates/pinerill-node/src/online/request.rs
@@ -1,7 +1,8 @@
-//! Reads a caller's body and prepares the one that goes to engines.
+//! Parses a caller's request body and builds the body that is sent to engines
+//! and script back ends.
 //!
-//! Only the fields that matter here are looked at; all others are copied as
-//! they stand, without being parsed.
+//! Only the fields that the node needs are interpreted; all other fields are
+//! copied verbatim as raw JSON.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +10,7 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// Which of the two calls it is.
+/// API call that a request makes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
     /// `/v1/completions`
@@ -19,7 +20,8 @@
 }
 
 impl RequestKind {
-    /// The path at callers, engines and scripts alike.
+    /// Returns the HTTP path of the call, which is the same at the gateway, at
+    /// engines and at script back ends.
     pub fn path(self) -> &'static str {
         match self {
             Self::Completion => "/v1/completions",
@@ -27,7 +29,7 @@
         }
     }
 
-    /// The call with this path.
+    /// Returns the call with this HTTP path, or `None` if no call has it.
     pub fn from_path(path: &str) -> Option<Self> {
         [Self::Completion, Self::Chat]
             .into_iter()
@@ -35,35 +37,37 @@
     }
 }
 
-/// What is wrong with a body.
+/// Why a request body is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RequestProblem {
-    /// Not a JSON object.
+    /// The body is not a JSON object; contains the parser's message.
     #[error("the body is not a JSON object: {0}")]
     Json(String),
-    /// A field is missing or of the wrong type.
+    /// A field is missing, has the wrong type or an unsupported value.
     #[error("{field}: {expected}")]
     Field {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What would be right.
+        /// Description of a valid value.
         expected: &'static str,
     },
 }
 
-/// A caller's request, read.
+/// A parsed request body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParsedRequest {
-    /// The service that the caller names as model.
+    /// Requested service, from the field `model`.
     pub service: String,
-    /// Whether the caller wants a stream.
+    /// Whether the answer is streamed; false if the field is absent.
     pub stream: bool,
-    /// Longest answer, tokens, if the caller says so.
+    /// Limit of the answer's length in tokens; `None` if the caller sets no
+    /// limit.
     pub max_tokens: Option<u32>,
-    /// The prompt, or the contents of the messages, one a line.
+    /// Prompt of a completion, or the contents of the chat messages joined by
+    /// line breaks.
     pub prompt: String,
-    /// All other fields, ready to be put behind `model` and `stream`:
-    /// `,"name":value` for each.
+    /// All fields except `model` and `stream` as JSON text, `,"name":value` for
+    /// each, to be appended to these two.
     pub other_fields: String,
 }
 
@@ -73,10 +77,11 @@
     content: std::borrow::Cow<'a, str>,
 }
 
-/// Reads a body.
+/// Parses the body of a request.
 ///
 /// # Errors
-/// [`RequestProblem`] that names the field and what would be right.
+/// Returns a [`RequestProblem`] if the body is not a JSON object, or one that
+/// names the invalid field and describes a valid value.
 pub fn parse_request(kind: RequestKind, body: &[u8]) -> Result<ParsedRequest, RequestProblem> {
     let fields: BTreeMap<String, &RawValue> =
         serde_json::from_slice(body).map_err(|error| RequestProblem::Json(error.to_string()))?;
@@ -147,7 +152,10 @@
             expected: "at least one message",
         });
     }
-    let contents: Vec<&str> = messages.iter().map(|one| one.content.as_ref()).collect();
+    let contents: Vec<&str> = messages
+        .iter()
+        .map(|message| message.content.as_ref())
+        .collect();
     Ok(contents.join("\n"))
 }
 
@@ -171,7 +179,8 @@
 }
 
 impl ParsedRequest {
-    /// The body for a back end that knows the model as `model`.
+    /// Builds the body for a back end that serves the model under the name
+    /// `model`.
     pub fn body(&self, model: &str, stream: bool) -> Bytes {
         let name = serde_json::Value::from(model);
         Bytes::from(format!(
@@ -180,7 +189,8 @@
         ))
     }
 
-    /// The body that only fills the KV cache: one token of answer.
+    /// Builds the body of a prefill request, which fills the KV cache and
+    /// generates only one token.
     pub fn prefill_body(&self, model: &str) -> Bytes {
         let name = serde_json::Value::from(model);
         let other: BTreeMap<String, Box<RawValue>> = serde_json::from_str(&format!(
--- a/crates/pinerill-node/src/online/retry.rs
+++ b/crates/pinerill-node/src/online/retry.rs
@@ -1,50 +1,52 @@
-//! Whether a request that did not come through is tried again. Pure.
+//! Decides whether a failed request is retried. This module performs no I/O and
+//! reads no clock.
 
 use pinerill_types::outcome::Outcome;
 
 use pinerill_quota::bucket::TokenBucket;
 
-/// Retries that may be saved up per service.
-const RETRY_RESERVE: f64 = 20.0;
-/// Most attempts of one request.
-const ATTEMPTS_LIMIT: u32 = 5;
-const ALL_PERCENT: f64 = 100.0;
+/// Capacity of a service's retry budget, in retries. A new budget is full.
+const RETRY_BUDGET_CAPACITY: f64 = 20.0;
+/// Maximum number of attempts per request, including the first.
+const MAX_ATTEMPTS: u32 = 5;
+const HUNDRED_PERCENT: f64 = 100.0;
 
-/// How an attempt at one back end ended without the whole answer.
+/// Whether a failed attempt may have run at its back end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// It certainly did not run there and never will.
+    /// The request did not run at the back end and will not run there later.
     NotRun,
-    /// It may have run there.
-    MaybeRun,
+    /// The request may have run at the back end, in part or completely.
+    MayHaveRun,
 }
 
-/// What the decision depends on.
+/// State of a request after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Situation {
-    /// Marked as never to be repeated.
+pub struct RetryContext {
+    /// The request must not be repeated once it may have run.
     pub at_most_once: bool,
-    /// Attempts so far, this one included.
+    /// Number of attempts so far, including the one that just failed.
     pub attempts: u32,
-    /// An earlier attempt may have run.
-    pub maybe_run_before: bool,
-    /// The answer can go on elsewhere from what was delivered.
+    /// An earlier attempt may have run at its back end.
+    pub earlier_may_have_run: bool,
+    /// Another back end can continue the answer from the text already
+    /// delivered.
     pub can_continue: bool,
     /// The deadline has passed.
     pub expired: bool,
 }
 
-/// What to do.
+/// What follows a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// Try elsewhere.
+    /// Retry at another back end.
     Retry,
-    /// The final answer, with this outcome.
+    /// Report the failure to the caller with this outcome.
     GiveUp(Outcome),
 }
 
-/// Retries of one service as a share of its fresh requests, so that retries
-/// can't multiply an outage.
+/// Limits the retries of one service to a percentage of its new requests, so
+/// that retries do not amplify the load during an outage.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     bucket: TokenBucket,
@@ -53,42 +55,44 @@
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            bucket: TokenBucket::with_tokens(0, RETRY_RESERVE),
+            bucket: TokenBucket::with_tokens(0, RETRY_BUDGET_CAPACITY),
         }
     }
 }
 
 impl RetryBudget {
-    /// A fresh request adds its share.
-    pub fn fresh(&mut self, percent: u32) {
-        let share = f64::from(percent) / ALL_PERCENT;
-        self.bucket.add(share, RETRY_RESERVE);
+    /// Adds the share of one new request: `percent` hundredths of a retry.
+    pub fn add_request(&mut self, percent: u32) {
+        let share = f64::from(percent) / HUNDRED_PERCENT;
+        self.bucket.add(share, RETRY_BUDGET_CAPACITY);
     }
 
-    /// Takes one retry, if there is one; none at a share of 0.
-    pub fn take(&mut self, percent: u32) -> bool {
+    /// Takes one retry from the budget and returns whether that was possible.
+    /// Always returns false if `percent` is 0.
+    pub fn try_take(&mut self, percent: u32) -> bool {
         percent > 0 && self.bucket.take_one()
     }
 }
 
-/// Decides after an attempt that ended without the whole answer. The budget
-/// is asked only when a retry is allowed otherwise.
+/// Decides what follows an attempt that ended without a complete answer.
+/// `take_budget` is called only if all other conditions allow a retry, so a
+/// retry that is not allowed does not consume budget.
 pub fn decide(
     end: &AttemptEnd,
-    situation: Situation,
+    retry_context: RetryContext,
     take_budget: impl FnOnce() -> bool,
 ) -> Decision {
-    let maybe_run = situation.maybe_run_before || *end == AttemptEnd::MaybeRun;
-    let outcome = if maybe_run {
+    let may_have_run = retry_context.earlier_may_have_run || *end == AttemptEnd::MayHaveRun;
+    let outcome = if may_have_run {
         Outcome::Unknown
     } else {
         Outcome::NotRun
     };
-    let repeatable = !(maybe_run && situation.at_most_once);
+    let repeatable = !(may_have_run && retry_context.at_most_once);
     let allowed = repeatable
-        && situation.can_continue
-        && !situation.expired
-        && situation.attempts < ATTEMPTS_LIMIT;
+        && retry_context.can_continue
+        && !retry_context.expired
+        && retry_context.attempts < MAX_ATTEMPTS;
     if allowed && take_budget() {
         return Decision::Retry;
     }
--- a/crates/pinerill-node/src/online/script.rs
+++ b/crates/pinerill-node/src/online/script.rs
@@ -1,5 +1,6 @@
-//! Runs a request at an old script, which knows no identifiers and no cancel:
-//! once it may have heard of a request, nobody can tell whether it ran.
+//! Runs a request at a legacy script back end, an HTTP server with neither request
+//! identifiers nor cancellation. Once a request may have reached it, the node
+//! cannot find out whether the request ran.
 
 use std::borrow::Cow;
 
@@ -43,15 +44,16 @@
 impl Choice<'_> {
     fn text(&self) -> &str {
         let nested = self.delta.as_ref().or(self.message.as_ref());
-        let nested = nested.and_then(|one| one.content.as_ref());
+        let nested = nested.and_then(|content| content.content.as_ref());
         self.text.as_ref().or(nested).map_or("", |text| text)
     }
 }
 
-/// Runs the request at one of the service's script addresses.
+/// Runs the request at a randomly chosen script address of its service.
 ///
 /// # Errors
-/// [`AttemptFailure`]; after the first text it can't go on elsewhere.
+/// Returns an [`AttemptFailure`]. After the first text of a stream was
+/// delivered, no other back end can continue the answer.
 pub async fn run(
     http: &Client,
     request: &OnlineRequest,
@@ -73,17 +75,17 @@
             let message = error_chain(&error);
             return Err(failure(&peer, AttemptEnd::NotRun, true, "connect", message));
         }
-        Err(error) => return Err(maybe_run(&peer, true, error_chain(&error))),
+        Err(error) => return Err(may_have_run(&peer, true, error_chain(&error))),
     };
     if response.status() != StatusCode::OK {
         let message = format!("status {}", response.status());
-        return Err(maybe_run(&peer, true, message));
+        return Err(may_have_run(&peer, true, message));
     }
     if request.parsed.stream {
         return read_stream(&peer, response, delivery).await;
     }
     let body = response.bytes().await;
-    let body = body.map_err(|error| maybe_run(&peer, true, error_chain(&error)))?;
+    let body = body.map_err(|error| may_have_run(&peer, true, error_chain(&error)))?;
     read_whole(&peer, &body, delivery).await
 }
 
@@ -110,11 +112,15 @@
     delivery: &Delivery,
 ) -> Result<Finish, AttemptFailure> {
     let chunk: Chunk<'_> = serde_json::from_slice(body)
-        .map_err(|error| maybe_run(peer, true, format!("unreadable answer: {error}")))?;
+        .map_err(|error| may_have_run(peer, true, format!("unreadable answer: {error}")))?;
     let Some(choice) = chunk.choices.first() else {
-        return Err(maybe_run(peer, true, "an answer without a choice".into()));
+        return Err(may_have_run(
+            peer,
+            true,
+            "an answer without a choice".into(),
+        ));
     };
-    delivery.text(choice.text().to_owned()).await;
+    delivery.send_text(choice.text().to_owned()).await;
     let reason = choice.finish_reason.as_deref().unwrap_or("stop");
     Ok(finish(reason, chunk.usage))
 }
@@ -130,19 +136,23 @@
     let mut delivered = false;
     loop {
         let chunk = response.chunk().await;
-        let bytes = chunk.map_err(|error| maybe_run(peer, !delivered, error_chain(&error)))?;
+        let bytes = chunk.map_err(|error| may_have_run(peer, !delivered, error_chain(&error)))?;
         let Some(bytes) = bytes else {
-            return Err(maybe_run(peer, !delivered, "the stream ended early".into()));
+            return Err(may_have_run(
+                peer,
+                !delivered,
+                "the stream ended early".into(),
+            ));
         };
         parser
             .push(&bytes)
-            .map_err(|error| maybe_run(peer, !delivered, error.to_string()))?;
+            .map_err(|error| may_have_run(peer, !delivered, error.to_string()))?;
         while let Some(data) = parser.next_data() {
             if data.as_ref() == DONE {
                 return Ok(finish(reason.as_deref().unwrap_or("stop"), usage));
             }
             let chunk: Chunk<'_> = serde_json::from_slice(&data)
-                .map_err(|error| maybe_run(peer, !delivered, error.to_string()))?;
+                .map_err(|error| may_have_run(peer, !delivered, error.to_string()))?;
             usage = chunk.usage.or(usage);
             let Some(choice) = chunk.choices.first() else {
                 continue;
@@ -150,7 +160,7 @@
             reason = choice.finish_reason.clone().or(reason);
             if !choice.text().is_empty() {
                 delivered = true;
-                delivery.text(choice.text().to_owned()).await;
+                delivery.send_text(choice.text().to_owned()).await;
             }
         }
     }
@@ -164,10 +174,10 @@
     }
 }
 
-fn maybe_run(peer: &str, can_continue: bool, message: String) -> AttemptFailure {
+fn may_have_run(peer: &str, can_continue: bool, message: String) -> AttemptFailure {
     failure(
         peer,
-        AttemptEnd::MaybeRun,
+        AttemptEnd::MayHaveRun,
         can_continue,
         "await answer",
         message,
@@ -191,14 +201,15 @@
     }
 }
 
-/// The failure of a request whose deadline passed while the script had it.
+/// Returns the failure of a request whose deadline passed during the attempt at
+/// the script back end.
 pub fn deadline_failure(request: &OnlineRequest) -> AttemptFailure {
     let script = request.plan.settings.script.as_ref();
     let peer = script
         .and_then(|script| script.addresses.first())
         .map_or_else(String::new, ToString::to_string);
     let message = "the deadline passed".to_owned();
-    let mut failure = maybe_run(&peer, false, message);
+    let mut failure = may_have_run(&peer, false, message);
     failure.code = FailureCode::DeadlineExceeded;
     failure
 }
