--- a/crates/pinerill-node/src/online/execution/attempt.rs
+++ b/crates/pinerill-node/src/online/execution/attempt.rs
@@ -34,20 +34,18 @@
         };
         let kv_handle = match self.prefill(&engine, &served).await {
             Ok(kv_handle) => kv_handle,
-            Err(interrupt) => return Err(self.handle_interrupt(&engine, interrupt).await),
+            Err(interrupt) => return Err(self.on_interrupt(&engine, interrupt).await),
         };
         let sent = match self.send(&engine, &served, kv_handle).await {
             Ok(sent) => sent,
-            Err(interrupt) => return Err(self.handle_interrupt(&engine, interrupt).await),
+            Err(interrupt) => return Err(self.on_interrupt(&engine, interrupt).await),
         };
         let response = match sent {
             Ok(SendOutcome::Answer(response)) => {
                 self.reached_engines.push(engine.id.clone());
                 response
             }
-            Ok(SendOutcome::Refused(refusal)) => {
-                self.handle_refusal(&engine, &served, refusal).await?
-            }
+            Ok(SendOutcome::Refused(refusal)) => self.on_refusal(&engine, &served, refusal).await?,
             Err(SendError::NotSent(message)) => {
                 self.context.fleet.connection_failed(&engine.worker);
                 let failure = self.failure(&engine, AttemptEnd::NotRun, "connect", message);
@@ -126,7 +124,7 @@
     /// Handles a refusal by the engine. If the engine refuses a duplicate of
     /// this request because an earlier attempt reached it, attaches to the
     /// running request instead and returns its response.
-    async fn handle_refusal(
+    async fn on_refusal(
         &mut self,
         engine: &Arc<Engine>,
         served: &Served,
@@ -158,7 +156,7 @@
 
     /// Cancels the request at the engine after an interrupt. After a missed
     /// deadline, the cancel's answer decides whether the request may have run.
-    pub(super) async fn handle_interrupt(
+    pub(super) async fn on_interrupt(
         &self,
         engine: &Arc<Engine>,
         interrupt: Interrupt,
--- a/crates/pinerill-node/src/online/execution/reading.rs
+++ b/crates/pinerill-node/src/online/execution/reading.rs
@@ -65,7 +65,7 @@
                 .interruptible(tokio::time::timeout(IDLE_TIMEOUT, response.chunk()))
                 .await;
             let bytes = match chunk {
-                Err(interrupt) => return Err(self.handle_interrupt(engine, interrupt).await),
+                Err(interrupt) => return Err(self.on_interrupt(engine, interrupt).await),
                 Ok(Err(_)) => return Ok(Err("the engine is silent".to_owned())),
                 Ok(Ok(Err(error))) => return Ok(Err(error_chain(&error))),
                 Ok(Ok(Ok(None))) => return Ok(Err("the stream ended early".to_owned())),
@@ -73,7 +73,7 @@
             };
             let progress = self.delivery.decode(&bytes, &self.context.metrics);
             if let Err(interrupt) = self.flush().await {
-                return Err(self.handle_interrupt(engine, interrupt).await);
+                return Err(self.on_interrupt(engine, interrupt).await);
             }
             match progress {
                 Progress::Continues => {}
@@ -126,7 +126,7 @@
                 engine.client.attach(&self.request.id, offset).await
             };
             match self.interruptible(attach).await {
-                Err(interrupt) => return Err(self.handle_interrupt(engine, interrupt).await),
+                Err(interrupt) => return Err(self.on_interrupt(engine, interrupt).await),
                 Ok(Ok(response)) => {
                     self.context.metrics.resumes.inc();
                     return Ok(response);
--- a/crates/pinerill-node/tests/caller_edges.rs
+++ b/crates/pinerill-node/tests/caller_edges.rs
@@ -1,5 +1,5 @@
-//! What callers get who send what they should not, and what others notice of
-//! it: nothing.
+//! Tests of invalid and unauthorized calls: each is rejected with a specific
+//! error, and requests in flight are not affected.
 
 mod support;
 
@@ -12,7 +12,8 @@
 
 const KIB: usize = 1_024;
 
-/// A node that takes bodies of 8 KiB, with one worker.
+/// Starts a node with one worker and a limit of 8 KiB for request bodies and
+/// batches.
 async fn start() -> (TestNode, FakeWorker) {
     let worker = FakeWorker::start("worker-1", 1).await;
     let control = Arc::new(FakeControl::new(bundle()));
@@ -24,7 +25,7 @@
     (TestNode::start_with(control, limits).await, worker)
 }
 
-/// A call and how it must fail: status, code, step.
+/// A call and the expected HTTP status, error code and failed step.
 struct Case {
     request: RequestBuilder,
     expected: (u16, &'static str, &'static str),
@@ -41,16 +42,17 @@
     node.http.post(node.url(path)).bearer_auth(KEY)
 }
 
-fn to(service: &str) -> String {
+/// Returns a valid completion body for `service`.
+fn completion_body(service: &str) -> String {
     json!({"model": service, "prompt": "p"}).to_string()
 }
 
-fn wrong_bodies(node: &TestNode) -> Vec<Case> {
+fn invalid_bodies(node: &TestNode) -> Vec<Case> {
     let mut cases = Vec::new();
     for path in ["/v1/completions", "/v1/chat/completions"] {
-        let large = "x".repeat(8 * KIB + 1);
+        let oversized = "x".repeat(8 * KIB + 1);
         let body = |body: String| post(node, path).body(body);
-        cases.push(case(body(large), 413, "body_too_large", "read body"));
+        cases.push(case(body(oversized), 413, "body_too_large", "read body"));
         for text in ["", "not JSON", "[]", "{\"model\":", "\u{0}"] {
             cases.push(case(body(text.into()), 400, "invalid_json", "read body"));
         }
@@ -60,13 +62,13 @@
     }
     let body = |body: String| post(node, "/v1/completions").body(body);
     cases.push(case(
-        body(to("fanal")),
+        body(completion_body("fanal")),
         404,
         "unknown_service",
         "find service",
     ));
     cases.push(case(
-        body(to("other")),
+        body(completion_body("other")),
         403,
         "service_not_allowed",
         "find service",
@@ -74,36 +76,41 @@
     cases
 }
 
-fn wrong_batches(node: &TestNode) -> Vec<Case> {
+fn invalid_batches(node: &TestNode) -> Vec<Case> {
     let submit = |body: String| {
         let request = post(node, "/v1/batches").body(body);
         request.header("Idempotency-Key", "k")
     };
-    let large = line("a", &"x".repeat(8 * KIB));
-    let unknown = line("a", "p").replace("fanar", "fanal");
+    let oversized = line("a", &"x".repeat(8 * KIB));
+    let unknown_service = line("a", "p").replace("fanar", "fanal");
     let without_key = post(node, "/v1/batches").body(line("a", "p"));
-    let (key, head) = ("missing_idempotency_key", "read headers");
+    let (code, step) = ("missing_idempotency_key", "read headers");
     vec![
-        case(submit(large), 413, "body_too_large", "read body"),
+        case(submit(oversized), 413, "body_too_large", "read body"),
         case(
             submit("not JSON\n".into()),
             400,
             "invalid_json",
             "read lines",
         ),
-        case(submit(unknown), 404, "unknown_service", "find service"),
-        case(without_key, 400, key, head),
+        case(
+            submit(unknown_service),
+            404,
+            "unknown_service",
+            "find service",
+        ),
+        case(without_key, 400, code, step),
     ]
 }
 
-fn strangers(node: &TestNode) -> Vec<Case> {
+fn unauthenticated_calls(node: &TestNode) -> Vec<Case> {
     let calls = [
         node.http
             .post(node.url("/v1/completions"))
-            .body(to("fanar")),
+            .body(completion_body("fanar")),
         node.http
             .post(node.url("/v1/chat/completions"))
-            .body(to("fanar")),
+            .body(completion_body("fanar")),
         node.http.get(node.url("/v1/models")),
         node.http
             .post(node.url("/v1/batches"))
@@ -116,64 +123,66 @@
     ];
     let mut cases = Vec::new();
     for call in calls {
-        let again = || call.try_clone().expect("a body in memory");
-        let forms = [
-            again(),
-            again().bearer_auth("a-guess"),
-            again().bearer_auth(""),
-            again().header("Authorization", format!("Basic {KEY}")),
-            again().header("Authorization", KEY),
+        let copy = || call.try_clone().expect("the body is in memory");
+        let variants = [
+            copy(),
+            copy().bearer_auth("a-guess"),
+            copy().bearer_auth(""),
+            copy().header("Authorization", format!("Basic {KEY}")),
+            copy().header("Authorization", KEY),
         ];
-        let refused = |form| case(form, 401, "unauthorized", "authenticate");
-        cases.extend(forms.into_iter().map(refused));
+        let rejected = |call| case(call, 401, "unauthorized", "authenticate");
+        cases.extend(variants.into_iter().map(rejected));
     }
     cases
 }
 
-fn wrong_heads(node: &TestNode) -> Vec<Case> {
-    let with = |name: &str, value: &str| online(node, "p").header(name, value);
-    let refused = |request| case(request, 400, "invalid_request", "read headers");
+fn invalid_headers_and_paths(node: &TestNode) -> Vec<Case> {
+    let with_header = |name: &str, value: &str| online(node, "p").header(name, value);
+    let rejected = |request| case(request, 400, "invalid_request", "read headers");
     vec![
-        refused(with("Pinerill-Request-Id", "a b")),
-        refused(with("Pinerill-Request-Id", &"x".repeat(129))),
-        refused(with("Pinerill-At-Most-Once", "yes")),
-        refused(with("Pinerill-Deadline-Ms", "soon")),
-        refused(with("Pinerill-Deadline-Ms", "0")),
+        rejected(with_header("Pinerill-Request-Id", "a b")),
+        rejected(with_header("Pinerill-Request-Id", &"x".repeat(129))),
+        rejected(with_header("Pinerill-At-Most-Once", "yes")),
+        rejected(with_header("Pinerill-Deadline-Ms", "soon")),
+        rejected(with_header("Pinerill-Deadline-Ms", "0")),
         case(post(node, "/v1/nonsense"), 404, "unknown_path", "route"),
         case(node.http.get(node.url("/")), 404, "unknown_path", "route"),
     ]
 }
 
-/// The failure is typed, says that nothing ran, and names step and peer.
-async fn assert_refused(one: Case) {
-    let shown = format!("{:?}", one.request);
-    let (status, body) = answer(one.request).await;
+/// Asserts that a call fails with the expected error, that the error says that
+/// nothing ran, and that it names the node as peer. The API key must not occur
+/// in the answer.
+async fn assert_rejected(case: Case) {
+    let request_text = format!("{:?}", case.request);
+    let (status, body) = answer(case.request).await;
     let error = &body["error"];
     let text = |field: &str| error[field].as_str().unwrap_or("missing").to_owned();
-    let found = (status, text("code"), text("step"));
-    let (status, code, step) = one.expected;
+    let actual = (status, text("code"), text("step"));
+    let (status, code, step) = case.expected;
     assert_eq!(
-        found,
+        actual,
         (status, code.to_owned(), step.to_owned()),
-        "{shown}: {body}"
+        "{request_text}: {body}"
     );
-    assert_eq!(text("outcome"), "not_run", "{shown}: {body}");
-    assert_eq!(text("peer"), "node", "{shown}: {body}");
+    assert_eq!(text("outcome"), "not_run", "{request_text}: {body}");
+    assert_eq!(text("peer"), "node", "{request_text}: {body}");
     assert!(!body.to_string().contains(KEY), "{body}");
 }
 
-/// Sends bad calls while a good request runs; it gets its whole answer, and
-/// its worker hears of nothing else.
-async fn harm_nothing(cases: impl FnOnce(&TestNode) -> Vec<Case>) {
+/// Sends invalid calls while a valid request runs. The valid request must get its
+/// complete answer, and no other request may reach the worker.
+async fn assert_rejected_without_side_effects(cases: impl FnOnce(&TestNode) -> Vec<Case>) {
     let (node, worker) = start().await;
     worker.change(|model| model.hold_after = Some(1));
-    let good = tokio::spawn(answer(online(&node, "good")));
-    until("it runs", || worker.count(false, Stage::Running) == 1).await;
-    for one in cases(&node) {
-        assert_refused(one).await;
+    let valid = tokio::spawn(answer(online(&node, "good")));
+    until("request runs", || worker.count(false, Stage::Running) == 1).await;
+    for case in cases(&node) {
+        assert_rejected(case).await;
     }
     worker.change(|model| model.hold_after = None);
-    let (status, body) = good.await.expect("ends");
+    let (status, body) = valid.await.expect("ends");
     assert_eq!(
         (status, &body["usage"]["completion_tokens"]),
         (200, &json!(4)),
@@ -184,27 +193,27 @@
 }
 
 #[tokio::test]
-async fn a_body_that_is_too_large_or_no_request_is_refused_and_harms_nothing() {
-    harm_nothing(wrong_bodies).await;
+async fn oversized_and_invalid_bodies_are_rejected() {
+    assert_rejected_without_side_effects(invalid_bodies).await;
 }
 
 #[tokio::test]
-async fn a_batch_that_is_too_large_or_none_is_refused_and_harms_nothing() {
-    harm_nothing(wrong_batches).await;
+async fn oversized_and_invalid_batches_are_rejected() {
+    assert_rejected_without_side_effects(invalid_batches).await;
 }
 
 #[tokio::test]
-async fn a_caller_without_a_known_key_gets_nowhere_and_harms_nothing() {
-    harm_nothing(strangers).await;
+async fn calls_without_a_known_key_are_rejected() {
+    assert_rejected_without_side_effects(unauthenticated_calls).await;
 }
 
 #[tokio::test]
-async fn wrong_headers_and_paths_are_refused_and_harm_nothing() {
-    harm_nothing(wrong_heads).await;
+async fn invalid_headers_and_unknown_paths_are_rejected() {
+    assert_rejected_without_side_effects(invalid_headers_and_paths).await;
 }
 
 #[tokio::test]
-async fn a_tenant_sees_its_own_services_and_jobs_alone() {
+async fn a_tenant_sees_only_its_own_services_and_jobs() {
     let (node, _worker) = start().await;
     let (status, job) = node.submit("k", line("a", "p")).await;
     assert_eq!(status, 200, "{job}");
@@ -235,13 +244,13 @@
         "cancelled"
     );
 
-    let names = |models: &Value| -> Vec<String> {
-        let list = models["data"].as_array().expect("a list");
+    let model_ids = |models: &Value| -> Vec<String> {
+        let list = models["data"].as_array().expect("an array");
         list.iter()
-            .map(|one| one["id"].as_str().expect("text").to_owned())
+            .map(|model| model["id"].as_str().expect("text").to_owned())
             .collect()
     };
-    assert_eq!(names(&node.get("/v1/models").await.1), ["fanar"]);
+    assert_eq!(model_ids(&node.get("/v1/models").await.1), ["fanar"]);
     let (_, models) = as_rival(node.http.get(node.url("/v1/models"))).await;
-    assert_eq!(names(&models), ["fanar", "other"]);
+    assert_eq!(model_ids(&models), ["fanar", "other"]);
 }
--- a/crates/pinerill-node/tests/online_limits.rs
+++ b/crates/pinerill-node/tests/online_limits.rs
@@ -1,5 +1,6 @@
-//! Online requests that meet limits: overload, deadlines, callers who go,
-//! engines that fail, and a node that is cut off.
+//! Tests of online requests at their limits: overload, deadlines, disconnected
+//! callers, failing engines, tenant quotas, and a node without a connection to
+//! the control plane.
 
 mod support;
 
@@ -12,7 +13,8 @@
 use support::worker::{text, FakeWorker, Stage};
 use support::{answer, bundle, error_of, online, until, FakeControl, TestNode};
 
-/// A node with one worker of one engine of four slots.
+/// Starts a node with one worker, whose only engine has four slots. `change`
+/// modifies the service `fanar`.
 async fn start(change: impl FnOnce(&mut Service)) -> (TestNode, FakeWorker) {
     let worker = FakeWorker::start("worker-1", 1).await;
     let control = Arc::new(FakeControl::new(changed(change)));
@@ -20,57 +22,66 @@
     (TestNode::start(control).await, worker)
 }
 
+/// Returns the default bundle with the service `fanar` modified by `change`.
 fn changed(change: impl FnOnce(&mut Service)) -> Bundle {
     let mut bundle = bundle();
-    change(bundle.services.get_mut(&"fanar".into()).expect("a service"));
+    change(
+        bundle
+            .services
+            .get_mut(&"fanar".into())
+            .expect("the service exists"),
+    );
     bundle
 }
 
-/// Starts requests that fill all slots and do not end.
-async fn fill(node: &TestNode, worker: &FakeWorker) {
+/// Starts requests that occupy all four slots and stay in flight.
+async fn fill_slots(node: &TestNode, worker: &FakeWorker) {
     worker.change(|model| model.hold_after = Some(1));
     for _ in 0..4 {
         tokio::spawn(online(node, "full").send());
     }
-    until("all slots are taken", || {
+    until("all slots are occupied", || {
         worker.count(false, Stage::Running) == 4
     })
     .await;
 }
 
 #[tokio::test]
-async fn overload_is_answered_at_once_when_the_queue_is_full() {
+async fn a_full_queue_rejects_requests_immediately() {
     let (node, worker) =
         start(|service| (service.queue_limit, service.queue_ms) = (1, 60_000)).await;
-    fill(&node, &worker).await;
-    let waits = tokio::spawn(answer(online(&node, "waits")));
+    fill_slots(&node, &worker).await;
+    let queued = tokio::spawn(answer(online(&node, "waits")));
     node.until_metric("requests_queued", |value| value >= 1.0)
         .await;
-    let refused = online(&node, "shed").send().await.expect("an answer");
-    assert!(refused.headers().contains_key("Retry-After"));
-    let body = refused.json().await.expect("JSON");
+    let rejected = online(&node, "shed")
+        .send()
+        .await
+        .expect("a response arrives");
+    assert!(rejected.headers().contains_key("Retry-After"));
+    let body = rejected.json().await.expect("JSON");
     assert_eq!(error_of(&body), ("overloaded", "not_run"));
-    assert!(!waits.is_finished());
+    assert!(!queued.is_finished());
     worker.change(|model| model.hold_after = None);
-    assert_eq!(waits.await.expect("ends").0, 200);
+    assert_eq!(queued.await.expect("ends").0, 200);
     assert_eq!(
         worker.model.lock().arrivals.len(),
         5,
-        "the shed one was never sent"
+        "the rejected request was never sent to the engine"
     );
 }
 
 #[tokio::test]
-async fn a_wait_ends_with_the_patience_of_the_service() {
+async fn a_queued_request_is_rejected_after_the_queue_time_of_its_service() {
     let (node, worker) = start(|service| service.queue_ms = 100).await;
-    fill(&node, &worker).await;
+    fill_slots(&node, &worker).await;
     let (status, body) = answer(online(&node, "waits")).await;
     assert_eq!((status, error_of(&body)), (503, ("overloaded", "not_run")));
     assert_eq!(worker.model.lock().arrivals.len(), 4);
 }
 
 #[tokio::test]
-async fn a_deadline_ends_the_request_at_its_engine() {
+async fn a_missed_deadline_cancels_the_request_at_its_engine() {
     let (node, worker) = start(|_| ()).await;
     worker.change(|model| model.hold_after = Some(1));
     let request = online(&node, "p").header("Pinerill-Deadline-Ms", "200");
@@ -83,7 +94,7 @@
 }
 
 #[tokio::test]
-async fn a_deadline_before_the_start_is_not_run_when_the_engine_says_so() {
+async fn a_missed_deadline_is_not_run_if_the_engine_had_not_started() {
     let (node, worker) = start(|_| ()).await;
     worker.change(|model| model.hold_heads = true);
     let request = online(&node, "p").header("Pinerill-Deadline-Ms", "200");
@@ -95,33 +106,33 @@
 }
 
 #[tokio::test]
-async fn a_caller_who_goes_ends_the_request_at_its_engine() {
+async fn a_disconnected_caller_cancels_the_request_at_its_engine() {
     let (node, worker) = start(|_| ()).await;
     worker.change(|model| model.hold_after = Some(1));
-    let gone = tokio::spawn(online(&node, "p").send());
-    until("it runs", || worker.count(false, Stage::Running) == 1).await;
-    gone.abort();
-    until("it is ended", || worker.count(false, Stage::Cancelled) == 1).await;
+    let call = tokio::spawn(online(&node, "p").send());
+    until("request runs", || worker.count(false, Stage::Running) == 1).await;
+    call.abort();
+    until("a cancel", || worker.count(false, Stage::Cancelled) == 1).await;
     node.until_metric("requests_total{end=\"caller_gone\"}", |value| value >= 1.0)
         .await;
     assert_eq!(node.metric("requests_in_flight").await, 0.0);
 }
 
 #[tokio::test]
-async fn a_caller_who_goes_while_waiting_leaves_the_queue() {
+async fn a_disconnected_caller_is_removed_from_the_queue() {
     let (node, worker) = start(|service| service.queue_ms = 60_000).await;
-    fill(&node, &worker).await;
-    let gone = tokio::spawn(online(&node, "p").send());
+    fill_slots(&node, &worker).await;
+    let call = tokio::spawn(online(&node, "p").send());
     node.until_metric("requests_queued", |value| value >= 1.0)
         .await;
-    gone.abort();
+    call.abort();
     node.until_metric("requests_queued", |value| value <= 0.0)
         .await;
     assert_eq!(worker.model.lock().arrivals.len(), 4);
 }
 
 #[tokio::test]
-async fn retries_end_with_the_budget_and_the_answer_goes_out() {
+async fn an_exhausted_retry_budget_ends_the_retries_and_reports_the_failure() {
     let control = Arc::new(FakeControl::new(changed(|service| {
         service.retry_budget_percent = 10
     })));
@@ -133,14 +144,14 @@
         let (status, body) = answer(online(&node, "p")).await;
         assert_eq!((status, error_of(&body)), (503, ("overloaded", "not_run")));
     }
-    // 20 saved up, and a tenth of the 30 fresh ones.
+    // 20 retries of the initial budget, and 10 % of the 30 requests.
     let retries = node.metric("retries_total").await;
     assert!((20.0..=23.0).contains(&retries), "{retries}");
     assert_eq!(worker.model.lock().arrivals.len(), 30 + retries as usize);
 }
 
 #[tokio::test]
-async fn a_refusal_after_a_prefill_elsewhere_is_not_called_not_run() {
+async fn a_refusal_after_a_prefill_at_another_engine_has_an_unknown_outcome() {
     let control = Arc::new(FakeControl::new(changed(|service| {
         service.retry_budget_percent = 0
     })));
@@ -160,7 +171,7 @@
 }
 
 #[tokio::test]
-async fn a_prompt_of_a_few_prefill_steps_is_prefilled_where_it_decodes() {
+async fn a_short_prompt_is_prefilled_at_the_decoding_engine() {
     let control = Arc::new(FakeControl::new(bundle()));
     let prefiller = FakeWorker::start("prefiller", 1).await;
     let decoder = FakeWorker::start("decoder", 1).await;
@@ -170,15 +181,23 @@
     let node = TestNode::start(control).await;
     node.until_metric("workers{state=\"reporting\"}", |value| value >= 2.0)
         .await;
-    let arrived = || prefiller.model.lock().arrivals.len();
+    let prefills = || prefiller.model.lock().arrivals.len();
     assert_eq!(answer(online(&node, &"tap ".repeat(600))).await.0, 200);
-    assert_eq!(arrived(), 0, "600 tokens");
+    assert_eq!(
+        prefills(),
+        0,
+        "a prompt of 600 tokens is not prefilled elsewhere"
+    );
     assert_eq!(answer(online(&node, &"tap ".repeat(6_000))).await.0, 200);
-    assert_eq!(arrived(), 1, "6,000 tokens");
+    assert_eq!(
+        prefills(),
+        1,
+        "a prompt of 6,000 tokens is prefilled elsewhere"
+    );
 }
 
 #[tokio::test]
-async fn a_stream_goes_on_elsewhere_when_its_engine_dies_unless_it_must_not() {
+async fn an_answer_continues_at_another_engine_unless_it_is_at_most_once() {
     let control = Arc::new(FakeControl::new(bundle()));
     let (dying, other) = (
         FakeWorker::start("dying", 1).await,
@@ -211,51 +230,58 @@
 }
 
 #[tokio::test]
-async fn a_node_cut_off_answers_not_run_at_once_unless_its_service_goes_on() {
+async fn a_disconnected_node_rejects_requests_unless_the_service_allows_them() {
     let mut bundle = changed(|service| service.serve_when_cut_off = true);
     bundle.policy.configuration_lease_ms = 300;
-    let other = bundle.services.get_mut(&"other".into()).expect("a service");
+    let other = bundle
+        .services
+        .get_mut(&"other".into())
+        .expect("the service exists");
     other.serve_when_cut_off = false;
     let worker = FakeWorker::start("worker-1", 1).await;
     let control = Arc::new(FakeControl::new(bundle));
     control.list_workers(vec![worker.record()]);
     let node = TestNode::start(control).await;
     until("reported", || worker.model.lock().reports >= 2).await;
-    let strict = || {
+    let lease_bound_request = || {
         let body = json!({"model": "other", "prompt": "p", "max_tokens": 4});
         let request = node.http.post(node.url("/v1/completions"));
         request.bearer_auth("rival-key").json(&body)
     };
-    assert_eq!(answer(strict()).await.0, 200);
+    assert_eq!(answer(lease_bound_request()).await.0, 200);
     node.control.cut_off.store(true, Ordering::Relaxed);
     node.until_reason("the bundle is not confirmed").await;
-    let refused = strict().send().await.expect("an answer");
-    assert!(refused.headers().contains_key("Retry-After"));
-    let body = refused.json().await.expect("JSON");
+    let rejected = lease_bound_request()
+        .send()
+        .await
+        .expect("a response arrives");
+    assert!(rejected.headers().contains_key("Retry-After"));
+    let body = rejected.json().await.expect("JSON");
     assert_eq!(error_of(&body), ("configuration_unconfirmed", "not_run"));
     assert_eq!(
         answer(online(&node, "p")).await.0,
         200,
-        "this service goes on"
+        "this service is served while disconnected"
     );
-    let stranger = node
+    let unknown_key_request = node
         .http
         .post(node.url("/v1/completions"))
         .bearer_auth("new-key");
-    let (status, body) = answer(stranger.json(&json!({"model": "fanar", "prompt": "p"}))).await;
+    let (status, body) =
+        answer(unknown_key_request.json(&json!({"model": "fanar", "prompt": "p"}))).await;
     assert_eq!(
         (status, error_of(&body).0),
         (503, "configuration_unconfirmed")
     );
     node.control.cut_off.store(false, Ordering::Relaxed);
     node.until_ready(200).await;
-    assert_eq!(answer(strict()).await.0, 200);
+    assert_eq!(answer(lease_bound_request()).await.0, 200);
 }
 
 #[tokio::test]
-async fn a_node_cut_off_is_not_ready_before_it_refuses() {
+async fn a_disconnected_node_is_not_ready_before_it_rejects_requests() {
     let mut bundle = bundle();
-    // Longer than the test: what is seen is the end of readiness only.
+    // The lease outlasts the test, so only readiness changes.
     bundle.policy.configuration_lease_ms = 8_000;
     let worker = FakeWorker::start("worker-1", 1).await;
     let control = Arc::new(FakeControl::new(bundle));
@@ -272,9 +298,12 @@
 }
 
 #[tokio::test]
-async fn one_tenant_in_excess_is_refused_and_another_is_not() {
+async fn a_tenant_over_its_quota_is_rejected_and_another_is_not() {
     let mut bundle = bundle();
-    let crew = bundle.tenants.get_mut(&"crew".into()).expect("a tenant");
+    let crew = bundle
+        .tenants
+        .get_mut(&"crew".into())
+        .expect("the tenant exists");
     (
         crew.requests_per_second,
         crew.burst,
@@ -285,7 +314,8 @@
     control.list_workers(vec![worker.record()]);
     let node = TestNode::start(control).await;
     worker.change(|model| model.hold_after = Some(1));
-    let held = [online(&node, "a"), online(&node, "b")].map(|one| tokio::spawn(answer(one)));
+    let in_flight =
+        [online(&node, "a"), online(&node, "b")].map(|request| tokio::spawn(answer(request)));
     until("two run", || worker.count(false, Stage::Running) == 2).await;
     let (status, body) = answer(online(&node, "c")).await;
     assert_eq!(
@@ -293,8 +323,8 @@
         (429, ("tenant_concurrency", "not_run"))
     );
     worker.change(|model| model.hold_after = None);
-    for one in held {
-        assert_eq!(one.await.expect("ends").0, 200);
+    for call in in_flight {
+        assert_eq!(call.await.expect("ends").0, 200);
     }
     assert_eq!(answer(online(&node, "d")).await.0, 200);
     let (status, body) = answer(online(&node, "e")).await;
