--- a/crates/pinerill-node/src/online/execution.rs
+++ b/crates/pinerill-node/src/online/execution.rs
@@ -108,7 +108,8 @@
     context: Arc<ExecutionContext>,
     request: OnlineRequest,
     delivery: Delivery,
-    /// Hashes of the prompt's blocks, used for prefix-cache routing.
+    /// Prefix hashes of the prompt's blocks, used to route the request to an
+    /// engine that may have the prefix cached.
     blocks: Arc<Vec<u64>>,
     /// Engines at which an attempt failed. The dispatcher avoids them as long as
     /// another engine can serve the request.
--- a/crates/pinerill-node/src/online/execution/attempt.rs
+++ b/crates/pinerill-node/src/online/execution/attempt.rs
@@ -84,6 +84,8 @@
         self.interruptible(prepared).await
     }
 
+    /// Sends the request to the engine, continuing the answer from the tokens
+    /// already received.
     async fn send(
         &mut self,
         engine: &Engine,
--- a/crates/pinerill-node/src/online/request.rs
+++ b/crates/pinerill-node/src/online/request.rs
@@ -1,8 +1,8 @@
 //! Parses a caller's request body and builds the body that is sent to engines
 //! and script back ends.
 //!
-//! Only the fields that the node needs are interpreted; all other fields are
-//! copied verbatim as raw JSON.
+//! Only the fields that the node needs are interpreted; the values of all other
+//! fields are copied verbatim as raw JSON.
 
 use std::collections::BTreeMap;
 
@@ -98,6 +98,7 @@
     })
 }
 
+/// Rejects a token limit of zero and a number of choices other than one.
 fn check_counts(
     fields: &BTreeMap<String, &RawValue>,
     max_tokens: Option<u32>,
--- a/crates/pinerill-node/src/online/retry.rs
+++ b/crates/pinerill-node/src/online/retry.rs
@@ -23,16 +23,16 @@
 /// State of a request after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetryContext {
-    /// The request must not be repeated once it may have run.
+    /// Whether the request must not be repeated once it may have run.
     pub at_most_once: bool,
     /// Number of attempts so far, including the one that just failed.
     pub attempts: u32,
-    /// An earlier attempt may have run at its back end.
+    /// Whether an attempt before the one that just failed may have run.
     pub earlier_may_have_run: bool,
-    /// Another back end can continue the answer from the text already
+    /// Whether another back end can continue the answer after the text already
     /// delivered.
     pub can_continue: bool,
-    /// The deadline has passed.
+    /// Whether the deadline has passed.
     pub expired: bool,
 }
 
@@ -61,7 +61,8 @@
 }
 
 impl RetryBudget {
-    /// Adds the share of one new request: `percent` hundredths of a retry.
+    /// Adds the share of one new request, `percent` hundredths of a retry, up
+    /// to the capacity.
     pub fn add_request(&mut self, percent: u32) {
         let share = f64::from(percent) / HUNDRED_PERCENT;
         self.bucket.add(share, RETRY_BUDGET_CAPACITY);
--- a/crates/pinerill-node/src/online/script.rs
+++ b/crates/pinerill-node/src/online/script.rs
@@ -89,6 +89,7 @@
     read_whole(&peer, &body, delivery).await
 }
 
+/// Picks one of the service's script addresses at random.
 fn address(request: &OnlineRequest) -> Result<String, AttemptFailure> {
     let script = request.plan.settings.script.as_ref();
     let addresses = script.map_or(&[][..], |script| &script.addresses);
@@ -106,6 +107,7 @@
     Ok(addresses[chosen].to_string())
 }
 
+/// Forwards the first choice of a non-streaming answer as one text.
 async fn read_whole(
     peer: &str,
     body: &[u8],
@@ -125,6 +127,7 @@
     Ok(finish(reason, chunk.usage))
 }
 
+/// Forwards a streamed answer. It is complete only after the `[DONE]` marker.
 async fn read_stream(
     peer: &str,
     mut response: reqwest::Response,
@@ -174,6 +177,7 @@
     }
 }
 
+/// Returns the failure of a request that may have run at the script back end.
 fn may_have_run(peer: &str, can_continue: bool, message: String) -> AttemptFailure {
     failure(
         peer,
--- a/crates/pinerill-node/tests/caller_edges.rs
+++ b/crates/pinerill-node/tests/caller_edges.rs
@@ -31,6 +31,7 @@
     expected: (u16, &'static str, &'static str),
 }
 
+/// Builds a case from the request and the expected status, code and step.
 fn case(request: RequestBuilder, status: u16, code: &'static str, step: &'static str) -> Case {
     Case {
         request,
@@ -38,6 +39,7 @@
     }
 }
 
+/// Returns a request with a valid API key.
 fn post(node: &TestNode, path: &str) -> RequestBuilder {
     node.http.post(node.url(path)).bearer_auth(KEY)
 }
@@ -103,6 +105,7 @@
     ]
 }
 
+/// Returns the API calls with a missing, unknown or malformed API key.
 fn unauthenticated_calls(node: &TestNode) -> Vec<Case> {
     let calls = [
         node.http
@@ -212,6 +215,7 @@
     assert_rejected_without_side_effects(invalid_headers_and_paths).await;
 }
 
+// Guards against access to the jobs and services of another tenant.
 #[tokio::test]
 async fn a_tenant_sees_only_its_own_services_and_jobs() {
     let (node, _worker) = start().await;
--- a/crates/pinerill-node/tests/online_limits.rs
+++ b/crates/pinerill-node/tests/online_limits.rs
@@ -46,6 +46,8 @@
     .await;
 }
 
+// Guards against requests that wait in vain: a full queue must reject the next request
+// with a retry delay instead of holding it.
 #[tokio::test]
 async fn a_full_queue_rejects_requests_immediately() {
     let (node, worker) =
@@ -71,6 +73,7 @@
     );
 }
 
+// Guards against requests that wait longer than `queue_ms` of their service.
 #[tokio::test]
 async fn a_queued_request_is_rejected_after_the_queue_time_of_its_service() {
     let (node, worker) = start(|service| service.queue_ms = 100).await;
@@ -80,6 +83,7 @@
     assert_eq!(worker.model.lock().arrivals.len(), 4);
 }
 
+// Guards against engines that keep working on a request after its deadline.
 #[tokio::test]
 async fn a_missed_deadline_cancels_the_request_at_its_engine() {
     let (node, worker) = start(|_| ()).await;
@@ -93,6 +97,8 @@
     assert_eq!(worker.count(false, Stage::Cancelled), 1);
 }
 
+// Guards against an unknown outcome when the engine confirms that a request never
+// started; callers may safely repeat such a request.
 #[tokio::test]
 async fn a_missed_deadline_is_not_run_if_the_engine_had_not_started() {
     let (node, worker) = start(|_| ()).await;
@@ -105,6 +111,7 @@
     );
 }
 
+// Guards against engines that keep generating an answer that nobody reads.
 #[tokio::test]
 async fn a_disconnected_caller_cancels_the_request_at_its_engine() {
     let (node, worker) = start(|_| ()).await;
@@ -118,6 +125,7 @@
     assert_eq!(node.metric("requests_in_flight").await, 0.0);
 }
 
+// Guards against queue entries that outlive their caller and take up queue space.
 #[tokio::test]
 async fn a_disconnected_caller_is_removed_from_the_queue() {
     let (node, worker) = start(|service| service.queue_ms = 60_000).await;
@@ -131,6 +139,7 @@
     assert_eq!(worker.model.lock().arrivals.len(), 4);
 }
 
+// Guards against retries that multiply the load while all engines are overloaded.
 #[tokio::test]
 async fn an_exhausted_retry_budget_ends_the_retries_and_reports_the_failure() {
     let control = Arc::new(FakeControl::new(changed(|service| {
@@ -150,6 +159,8 @@
     assert_eq!(worker.model.lock().arrivals.len(), 30 + retries as usize);
 }
 
+// Guards against the outcome `not_run` after part of the request, its prefill, has run at
+// another engine.
 #[tokio::test]
 async fn a_refusal_after_a_prefill_at_another_engine_has_an_unknown_outcome() {
     let control = Arc::new(FakeControl::new(changed(|service| {
@@ -170,6 +181,7 @@
     assert_eq!(error_of(&body), ("overloaded", "unknown"));
 }
 
+// Guards against a transfer of the KV cache for prompts that are too short to profit.
 #[tokio::test]
 async fn a_short_prompt_is_prefilled_at_the_decoding_engine() {
     let control = Arc::new(FakeControl::new(bundle()));
@@ -196,6 +208,8 @@
     );
 }
 
+// Guards against two failures after an engine dies in the middle of an answer: losing an
+// answer that another engine could continue, and repeating an at-most-once request.
 #[tokio::test]
 async fn an_answer_continues_at_another_engine_unless_it_is_at_most_once() {
     let control = Arc::new(FakeControl::new(bundle()));
@@ -208,8 +222,8 @@
     let node = TestNode::start(control).await;
     dying.change(|model| model.hold_after = Some(2));
     let repeatable = tokio::spawn(answer(online(&node, "again")));
-    let once = online(&node, "once").header("Pinerill-At-Most-Once", "true");
-    let once = tokio::spawn(answer(once));
+    let at_most_once = online(&node, "once").header("Pinerill-At-Most-Once", "true");
+    let at_most_once = tokio::spawn(answer(at_most_once));
     until("both run", || dying.count(false, Stage::Running) == 2).await;
     node.control
         .list_workers(vec![dying.record_at(proxy.address), other.record()]);
@@ -221,7 +235,7 @@
         (status, body["choices"][0]["text"].as_str()),
         (200, Some(&*text("again", 4)))
     );
-    let (status, body) = once.await.expect("ends");
+    let (status, body) = at_most_once.await.expect("ends");
     assert_eq!(
         (status, error_of(&body)),
         (502, ("backend_failed", "unknown"))
@@ -229,6 +243,8 @@
     assert_eq!(other.model.lock().came.len(), 1);
 }
 
+// Guards against serving with an expired configuration: without the control plane, a node
+// must reject requests unless their service has `serve_when_cut_off`.
 #[tokio::test]
 async fn a_disconnected_node_rejects_requests_unless_the_service_allows_them() {
     let mut bundle = changed(|service| service.serve_when_cut_off = true);
@@ -278,6 +294,8 @@
     assert_eq!(answer(lease_bound_request()).await.0, 200);
 }
 
+// Guards against failed requests after a disconnect: the node must report that it is not
+// ready, so that traffic moves away, while it still serves requests.
 #[tokio::test]
 async fn a_disconnected_node_is_not_ready_before_it_rejects_requests() {
     let mut bundle = bundle();
@@ -297,6 +315,7 @@
     node.until_ready(200).await;
 }
 
+// Guards against one tenant that uses up the capacity of others.
 #[tokio::test]
 async fn a_tenant_over_its_quota_is_rejected_and_another_is_not() {
     let mut bundle = bundle();
