--- a/crates/pinerill-node/src/batch/control.rs
+++ b/crates/pinerill-node/src/batch/control.rs
@@ -15,7 +15,7 @@
     grace_ms: u64,
     planned: CancellationToken,
     finished: CancellationToken,
-    running_once: AtomicUsize,
+    running_at_most_once: AtomicUsize,
 }
 
 impl BatchControl {
@@ -25,7 +25,7 @@
             grace_ms: (drain_ms / GRACE_DIVISOR).min(GRACE_LIMIT_MS),
             planned: CancellationToken::new(),
             finished: CancellationToken::new(),
-            running_once: AtomicUsize::new(0),
+            running_at_most_once: AtomicUsize::new(0),
         }
     }
 
@@ -55,12 +55,12 @@
     }
 
     /// Items at engines that are not to be repeated; a stop now would cut them.
-    pub fn running_once(&self) -> usize {
-        self.running_once.load(Ordering::Relaxed)
+    pub fn running_at_most_once(&self) -> usize {
+        self.running_at_most_once.load(Ordering::Relaxed)
     }
 
-    /// Sets [`Self::running_once`].
-    pub fn set_running_once(&self, count: usize) {
-        self.running_once.store(count, Ordering::Relaxed);
+    /// Sets [`Self::running_at_most_once`].
+    pub fn set_running_at_most_once(&self, count: usize) {
+        self.running_at_most_once.store(count, Ordering::Relaxed);
     }
 }
--- a/crates/pinerill-node/src/batch/engines.rs
+++ b/crates/pinerill-node/src/batch/engines.rs
@@ -52,7 +52,7 @@
 
     /// Items that may be started here now or soon.
     fn places(&self, now_ms: u64) -> u32 {
-        let usable = self.view.open
+        let usable = self.view.accepts_batch
             && self.paused.is_empty()
             && self.faulty_until_ms <= now_ms
             && self.window.takes_starts(now_ms + LEASE_AHEAD_MS);
@@ -89,7 +89,7 @@
     /// stays while something runs there.
     pub fn observe(&mut self, now_ms: u64, views: Vec<EngineView>) {
         for engine in self.engines.values_mut() {
-            engine.view.open = false;
+            engine.view.accepts_batch = false;
         }
         for view in views {
             let policy = combined(&self.policies, &view.services);
@@ -103,7 +103,7 @@
         }
         self.engines.retain(|_, engine| {
             let occupied = !engine.running.is_empty() || !engine.paused.is_empty();
-            engine.view.open || occupied || now_ms < engine.faulty_until_ms
+            engine.view.accepts_batch || occupied || now_ms < engine.faulty_until_ms
         });
     }
 
@@ -195,7 +195,7 @@
     /// service once it has room.
     pub fn has_untried(&self, service: &ServiceName, tried: &[EngineId]) -> bool {
         self.serving(service)
-            .any(|(id, engine)| engine.view.open && !tried.contains(id))
+            .any(|(id, engine)| engine.view.accepts_batch && !tried.contains(id))
     }
 
     fn serving<'a>(
@@ -273,7 +273,7 @@
         for engine in self.engines.values() {
             totals.running += engine.running.len();
             totals.paused += engine.paused.len();
-            if engine.view.open {
+            if engine.view.accepts_batch {
                 totals.window += engine.window.allowed() as usize;
             }
         }
--- a/crates/pinerill-node/src/batch/message.rs
+++ b/crates/pinerill-node/src/batch/message.rs
@@ -28,7 +28,7 @@
     /// Its load.
     pub load: EngineLoad,
     /// This node drives its batch and its worker takes new work.
-    pub open: bool,
+    pub accepts_batch: bool,
     /// Arrivals of online requests seen so far.
     pub arrivals: u64,
     /// Preemptions reported so far.
--- a/crates/pinerill-node/src/batch/observer.rs
+++ b/crates/pinerill-node/src/batch/observer.rs
@@ -98,7 +98,7 @@
             online: own + elsewhere,
         },
         // An engine that has not reported may be full of online work.
-        open: load.has_reported()
+        accepts_batch: load.has_reported()
             && engine.worker.is_driven()
             && engine.worker.accepts_work(now_ms),
         arrivals: engine.online_signs.load(Ordering::Relaxed),
--- a/crates/pinerill-node/src/batch/planner.rs
+++ b/crates/pinerill-node/src/batch/planner.rs
@@ -93,7 +93,7 @@
     }
 
     /// Items that are at engines and not to be repeated.
-    pub fn running_once(&self) -> usize {
+    pub fn running_at_most_once(&self) -> usize {
         let items = self.items.values();
         let at_engine = items.filter(|item| !matches!(item.stage, Stage::Ready { .. }));
         at_engine
--- a/crates/pinerill-node/src/batch/shell.rs
+++ b/crates/pinerill-node/src/batch/shell.rs
@@ -127,7 +127,8 @@
         self.metrics.batch_running.set(totals.running as i64);
         self.metrics.batch_paused.set(totals.paused as i64);
         self.metrics.batch_window.set(totals.window as i64);
-        self.control.set_running_once(self.planner.running_once());
+        self.control
+            .set_running_at_most_once(self.planner.running_at_most_once());
     }
 
     fn take(&mut self, input: ShellInput) {
--- a/crates/pinerill-node/src/run.rs
+++ b/crates/pinerill-node/src/run.rs
@@ -168,5 +168,5 @@
         () = tokio::time::sleep(limit) => {}
         () = signals.forced.cancelled() => {}
     }
-    node.drain.in_flight() + node.batch.running_once()
+    node.drain.in_flight() + node.batch.running_at_most_once()
 }
--- a/crates/pinerill-node/tests/batch_planner.rs
+++ b/crates/pinerill-node/tests/batch_planner.rs
@@ -26,7 +26,7 @@
         id: engine(number),
         services: vec!["fanar".into()].into(),
         load: EngineLoad { slots: 4, online },
-        open: true,
+        accepts_batch: true,
         arrivals,
         preemptions: 0,
         waiting: false,
--- a/crates/pinerill-node/tests/batch_simulation.rs
+++ b/crates/pinerill-node/tests/batch_simulation.rs
@@ -224,7 +224,7 @@
                 slots: SLOTS,
                 online: state.online[usize::from(engine)],
             },
-            open: true,
+            accepts_batch: true,
             arrivals: state.arrivals,
             preemptions: 0,
             waiting: false,
--- a/crates/pinerill-sim/src/job/node/mod.rs
+++ b/crates/pinerill-sim/src/job/node/mod.rs
@@ -176,7 +176,7 @@
                     slots: SLOTS,
                     online: *online,
                 },
-                open: true,
+                accepts_batch: true,
                 arrivals: self.arrivals,
                 preemptions: 0,
                 waiting: false,
