--- a/crates/pinerill-node/src/batch/calls.rs
+++ b/crates/pinerill-node/src/batch/calls.rs
@@ -1,4 +1,7 @@
-//! Calls to job groups, each in a task of its own.
+//! Calls from the batch shell to job group leaders.
+//!
+//! Each call runs in its own task and delivers its result to the shell as a
+//! planner input.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,21 +13,21 @@
 use super::message::{Input, NotAnswered};
 use super::shell::ShellInput;
 
-/// Longest wait for an answer before the call is made again.
+/// Timeout of one call. The planner retries a call that timed out.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What is asked.
+/// The kind of a call, which decides how its response becomes an input.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum GroupCall {
-    /// Items.
+    /// Lease items that wait in the group.
     Lease,
-    /// Longer leases.
+    /// Extend leases that the node holds.
     Renew,
-    /// To take so many reports.
+    /// Report the ends of this number of attempts.
     Report(usize),
 }
 
-/// Makes calls and hands their answers to the shell.
+/// Sends calls to job groups and forwards their responses to the shell.
 pub(super) struct GroupCalls {
     api: Arc<dyn ControlApi>,
     inputs: mpsc::UnboundedSender<ShellInput>,
@@ -35,22 +38,23 @@
         Self { api, inputs }
     }
 
-    /// Starts a call; its answer comes as an input.
+    /// Starts a call in the background. Its response arrives at the shell as an
+    /// input. A request that is not addressed to a job group is ignored.
     pub(super) fn start(&self, call: GroupCall, request: Request) {
-        let Some(group) = group_of(&request) else {
+        let Some(group) = target_group(&request) else {
             return;
         };
         let api = self.api.clone();
         let inputs = self.inputs.clone();
         tokio::spawn(async move {
             let answer = api.call_leader(group, request, CALL_TIMEOUT).await;
-            let input = input_of(call, group, answer);
+            let input = planner_input(call, group, answer);
             let _ = inputs.send(ShellInput::Planner(input));
         });
     }
 }
 
-fn group_of(request: &Request) -> Option<u32> {
+fn target_group(request: &Request) -> Option<u32> {
     match request {
         Request::LeaseItems(message) => Some(message.group),
         Request::RenewLeases(message) => Some(message.group),
@@ -59,10 +63,10 @@
     }
 }
 
-fn input_of(call: GroupCall, group: u32, answer: Result<Response, CallError>) -> Input {
+fn planner_input(call: GroupCall, group: u32, answer: Result<Response, CallError>) -> Input {
     let invalid = answer.as_ref().is_err_and(is_invalid);
     if invalid {
-        log::error!("group {group} refuses {call:?} as invalid");
+        log::error!("job group {group} rejected a {call:?} call as invalid");
     }
     match call {
         GroupCall::Lease => Input::Leased {
@@ -86,7 +90,8 @@
                 Ok(Response::EndAttempts(response)) if response.verdicts.len() == count => {
                     Ok(response.verdicts)
                 }
-                // Sent again it would be refused again, and hold up the rest.
+                // A retry would be rejected again and would block the reports
+                // behind it, so the reports count as answered.
                 _ if invalid => Ok(vec![AttemptVerdict::Unknown; count]),
                 _ => Err(NotAnswered),
             },
--- a/crates/pinerill-node/src/batch/control.rs
+++ b/crates/pinerill-node/src/batch/control.rs
@@ -1,65 +1,70 @@
-//! How the node's planned stop and its batch side meet.
+//! Coordinates a planned stop of the node with its batch work.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use tokio_util::sync::CancellationToken;
 
-/// Part of a planned stop's time that batch items get to finish.
+/// Fraction of the drain time, as a divisor, that batch items get to finish.
 const GRACE_DIVISOR: u64 = 4;
-/// Longest such time, milliseconds.
-const GRACE_LIMIT_MS: u64 = 10_000;
+/// Upper bound of the time that batch items get to finish, milliseconds.
+const MAX_GRACE_MS: u64 = 10_000;
 
-/// Shared by the node's stop and its batch side.
+/// State shared by the node's shutdown sequence and its batch shell.
 #[derive(Debug)]
 pub struct BatchControl {
     grace_ms: u64,
-    planned: CancellationToken,
+    stopping: CancellationToken,
     finished: CancellationToken,
     running_at_most_once: AtomicUsize,
 }
 
 impl BatchControl {
-    /// For a node whose planned stop takes at most `drain_ms`.
+    /// Creates the state for a node that drains for at most `drain_ms`
+    /// milliseconds on a planned stop.
     pub fn new(drain_ms: u64) -> Self {
         Self {
-            grace_ms: (drain_ms / GRACE_DIVISOR).min(GRACE_LIMIT_MS),
-            planned: CancellationToken::new(),
+            grace_ms: (drain_ms / GRACE_DIVISOR).min(MAX_GRACE_MS),
+            stopping: CancellationToken::new(),
             finished: CancellationToken::new(),
             running_at_most_once: AtomicUsize::new(0),
         }
     }
 
-    /// How long items that may be run again get to finish, milliseconds.
+    /// Returns how long repeatable items get to finish after a planned stop has
+    /// begun, milliseconds.
     pub fn grace_ms(&self) -> u64 {
         self.grace_ms
     }
 
-    /// Begins the stop.
+    /// Begins the planned stop: the batch shell drains and leases nothing more.
     pub fn stop(&self) {
-        self.planned.cancel();
+        self.stopping.cancel();
     }
 
-    /// Completes when the stop has begun.
-    pub async fn planned_stop(&self) {
-        self.planned.cancelled().await;
+    /// Waits until the planned stop has begun.
+    pub async fn stop_begun(&self) {
+        self.stopping.cancelled().await;
     }
 
-    /// Nothing is leased or to be reported any more.
+    /// Marks the drain as finished: the node holds no lease and has no report
+    /// left to deliver.
     pub fn finish(&self) {
         self.finished.cancel();
     }
 
-    /// Completes when nothing is leased or to be reported any more.
+    /// Waits until the drain has finished: no lease is held and every report is
+    /// delivered.
     pub async fn finished(&self) {
         self.finished.cancelled().await;
     }
 
-    /// Items at engines that are not to be repeated; a stop now would cut them.
+    /// Returns the number of at-most-once items that run at engines. Exiting now
+    /// would interrupt them, and they could not be run again.
     pub fn running_at_most_once(&self) -> usize {
         self.running_at_most_once.load(Ordering::Relaxed)
     }
 
-    /// Sets [`Self::running_at_most_once`].
+    /// Updates the number that [`Self::running_at_most_once`] returns.
     pub fn set_running_at_most_once(&self, count: usize) {
         self.running_at_most_once.store(count, Ordering::Relaxed);
     }
--- a/crates/pinerill-node/src/batch/demand.rs
+++ b/crates/pinerill-node/src/batch/demand.rs
@@ -1,71 +1,78 @@
-//! Which groups are asked for how many items. Pure.
+//! Decides how many items to request from which job group.
+//!
+//! This module does no I/O and reads no clock; the planner passes in the time.
 
 use std::collections::BTreeMap;
 
 use pinerill_types::ServiceName;
 use pinerill_wire::message::LeaseWant;
 
-use super::engines::EngineBoard;
+use super::engines::EngineTable;
 use super::message::Backlog;
 
-/// Most items of one service in one question.
-const WANT_LIMIT: u32 = 64;
-/// Of so many items that run, one more is leased ahead, so that a place that
-/// comes free is filled without a question.
-const AHEAD_DIVISOR: u32 = 8;
-/// First pause before a group that had nothing is asked again, milliseconds.
-const EMPTY_PAUSE_MS: u64 = 200;
-/// Longest such pause, milliseconds.
-const EMPTY_PAUSE_LIMIT_MS: u64 = 2_000;
+/// Most items of one service in one lease request.
+const MAX_ITEMS_PER_WANT: u32 = 64;
+/// For every this many running items one more is leased ahead, so that a slot
+/// that becomes free is filled without waiting for a lease request.
+const LEASE_AHEAD_DIVISOR: u32 = 8;
+/// First backoff after a group returned no items of a service, milliseconds.
+/// It doubles with every further empty response.
+const EMPTY_BACKOFF_MS: u64 = 200;
+/// Longest backoff after empty responses, milliseconds.
+const MAX_EMPTY_BACKOFF_MS: u64 = 2_000;
 
+/// The backoff for one service at one group after empty responses.
 #[derive(Debug, Clone, Copy, Default)]
-struct Quiet {
+struct EmptyBackoff {
     until_ms: u64,
     pause_ms: u64,
 }
 
-/// Where items wait, as far as known.
+/// Approximate knowledge of which groups hold items that wait for a lease.
 #[derive(Debug, Default)]
 pub struct GroupHints {
     backlog: Backlog,
-    quiet: BTreeMap<(ServiceName, u32), Quiet>,
+    backoffs: BTreeMap<(ServiceName, u32), EmptyBackoff>,
     cursor: usize,
 }
 
-/// Places that are free for each service with a backlog. The room of an engine
-/// that serves several of them is shared equally.
-pub fn free_places(
-    board: &EngineBoard,
+/// Returns how many more items of each service with a backlog the node can use:
+/// its share of the free slots, plus the items to lease ahead. The free slots of
+/// an engine that serves several such services are shared equally.
+pub fn lease_demand(
+    engines: &EngineTable,
     backlog: &Backlog,
     now_ms: u64,
 ) -> BTreeMap<ServiceName, u32> {
-    let mut places: BTreeMap<ServiceName, u32> = BTreeMap::new();
-    for (number, (room, services)) in board.rooms(now_ms).enumerate() {
+    let mut demand: BTreeMap<ServiceName, u32> = BTreeMap::new();
+    for (number, (slots, services)) in engines.startable_items(now_ms).enumerate() {
         let waiting: Vec<&ServiceName> = services
             .iter()
             .filter(|one| backlog.contains_key(*one))
             .collect();
-        if waiting.is_empty() || room == 0 {
+        if waiting.is_empty() || slots == 0 {
             continue;
         }
         let count = waiting.len() as u32;
         for (at, service) in waiting.into_iter().enumerate() {
-            // The remainder goes to another service at each engine.
+            // A remainder goes to a different service at each engine, so that no
+            // service gets all of them.
             let turn = (at + number) as u32 % count;
-            let share = room / count + u32::from(turn < room % count);
-            *places.entry(service.clone()).or_default() += share;
+            let share = slots / count + u32::from(turn < slots % count);
+            *demand.entry(service.clone()).or_default() += share;
         }
     }
-    for (service, running) in board.running_by_service() {
+    for (service, running) in engines.running_by_service() {
         if backlog.contains_key(&service) {
-            *places.entry(service).or_default() += running.div_ceil(AHEAD_DIVISOR);
+            *demand.entry(service).or_default() += running.div_ceil(LEASE_AHEAD_DIVISOR);
         }
     }
-    places
+    demand
 }
 
 impl GroupHints {
-    /// Starts with a group of its own, so that nodes spread over the groups.
+    /// Creates empty hints. `cursor` selects the group that is asked first and
+    /// should differ between nodes, so that they spread over the groups.
     pub fn new(cursor: usize) -> Self {
         Self {
             cursor,
@@ -73,25 +80,26 @@
         }
     }
 
-    /// A watch told where items wait.
-    pub fn take_backlog(&mut self, backlog: Backlog) {
+    /// Replaces the backlog with one that the groups reported.
+    pub fn set_backlog(&mut self, backlog: Backlog) {
         self.backlog = backlog;
     }
 
-    /// Where items wait.
+    /// Returns the number of items that wait, by service and group.
     pub fn backlog(&self) -> &Backlog {
         &self.backlog
     }
 
-    /// Shares what is wanted out over the groups that have it and are free to
-    /// be asked.
-    pub fn questions(
+    /// Distributes the `wanted` items of each service over the groups that have
+    /// some. Skips groups for which `is_free` returns false and those in backoff.
+    /// Returns the lease request of each group.
+    pub fn lease_requests(
         &mut self,
         now_ms: u64,
         wanted: BTreeMap<ServiceName, u32>,
         is_free: impl Fn(u32) -> bool,
     ) -> BTreeMap<u32, Vec<LeaseWant>> {
-        let mut questions: BTreeMap<u32, Vec<LeaseWant>> = BTreeMap::new();
+        let mut lease_requests: BTreeMap<u32, Vec<LeaseWant>> = BTreeMap::new();
         for (service, mut left) in wanted {
             for (group, pending) in self.candidates(now_ms, &service) {
                 if left == 0 {
@@ -101,23 +109,24 @@
                     continue;
                 }
                 let limit = left
-                    .min(WANT_LIMIT)
-                    .min(u32::try_from(pending).unwrap_or(WANT_LIMIT));
+                    .min(MAX_ITEMS_PER_WANT)
+                    .min(u32::try_from(pending).unwrap_or(MAX_ITEMS_PER_WANT));
                 left -= limit;
                 let service = service.clone();
-                questions
+                lease_requests
                     .entry(group)
                     .or_default()
                     .push(LeaseWant { service, limit });
             }
         }
-        if !questions.is_empty() {
+        if !lease_requests.is_empty() {
             self.cursor = self.cursor.wrapping_add(1);
         }
-        questions
+        lease_requests
     }
 
-    /// Groups with items of a service, from the cursor on.
+    /// Returns the groups that have items of a service and are not in backoff,
+    /// with their number of items, in rotation from the cursor on.
     fn candidates(&self, now_ms: u64, service: &ServiceName) -> Vec<(u32, u64)> {
         let Some(groups) = self.backlog.get(service) else {
             return Vec::new();
@@ -126,8 +135,8 @@
             .iter()
             .map(|(group, pending)| (*group, *pending))
             .filter(|(group, pending)| {
-                let quiet = self.quiet.get(&(service.clone(), *group));
-                *pending > 0 && quiet.is_none_or(|quiet| quiet.until_ms <= now_ms)
+                let backoff = self.backoffs.get(&(service.clone(), *group));
+                *pending > 0 && backoff.is_none_or(|backoff| backoff.until_ms <= now_ms)
             })
             .collect();
         if !candidates.is_empty() {
@@ -137,19 +146,21 @@
         candidates
     }
 
-    /// A group gave `got` items of what it was asked for.
-    pub fn answered(&mut self, now_ms: u64, group: u32, want: &LeaseWant, got: u32) {
+    /// Records that a group returned `got` items for `want`. An empty response
+    /// starts or doubles the backoff; any other ends it and lowers the hint.
+    pub fn record_response(&mut self, now_ms: u64, group: u32, want: &LeaseWant, got: u32) {
         let key = (want.service.clone(), group);
         if got == 0 {
-            let quiet = self.quiet.entry(key).or_default();
-            quiet.pause_ms = (quiet.pause_ms * 2).clamp(EMPTY_PAUSE_MS, EMPTY_PAUSE_LIMIT_MS);
-            quiet.until_ms = now_ms + quiet.pause_ms;
+            let backoff = self.backoffs.entry(key).or_default();
+            backoff.pause_ms = (backoff.pause_ms * 2).clamp(EMPTY_BACKOFF_MS, MAX_EMPTY_BACKOFF_MS);
+            backoff.until_ms = now_ms + backoff.pause_ms;
             return;
         }
-        self.quiet.remove(&key);
+        self.backoffs.remove(&key);
         let groups = self.backlog.get_mut(&want.service);
         if let Some(pending) = groups.and_then(|groups| groups.get_mut(&group)) {
-            // A hint may be too low; it stays above 0 until a question says so.
+            // The hint may be too low, so it stays above 0 until a request comes
+            // back empty or the group reports a new backlog.
             *pending = pending.saturating_sub(u64::from(got)).max(1);
         }
     }
--- a/crates/pinerill-node/src/batch/engines.rs
+++ b/crates/pinerill-node/src/batch/engines.rs
@@ -1,4 +1,6 @@
-//! What runs at which engine, and how much may. Pure.
+//! Tracks which attempts run or are paused at which engine, and how many may.
+//!
+//! This module does no I/O and reads no clock; the planner passes in the time.
 
 use std::collections::BTreeMap;
 
@@ -6,25 +8,26 @@
 use pinerill_wire::message::AttemptRef;
 
 use super::message::EngineView;
-use super::window::{OnlineSign, Window, WindowPolicy};
-
-/// First pause of an engine after a failure, milliseconds; it doubles.
-const FAULT_PAUSE_MS: u64 = 250;
-/// Longest pause of an engine, milliseconds.
-const FAULT_PAUSE_LIMIT_MS: u64 = 8_000;
-/// How long before an engine takes starts again items are leased for it,
-/// milliseconds.
+use super::window::{OnlineSignal, Window, WindowPolicy};
+
+/// First backoff of an engine after a fault, milliseconds. It doubles with every
+/// further fault.
+const FAULT_BACKOFF_MS: u64 = 250;
+/// Longest backoff of an engine, milliseconds.
+const MAX_FAULT_BACKOFF_MS: u64 = 8_000;
+/// How long before an engine allows starts again the node already leases items
+/// for it, milliseconds.
 const LEASE_AHEAD_MS: u64 = 100;
-/// How long an item stays paused before it may go elsewhere, at weights 0.0
-/// and 1.0, milliseconds.
-const PAUSED_LIMIT_MS: (f64, f64) = (30_000.0, 5_000.0);
+/// How long an item stays paused before it may move to another engine, at tail
+/// weights 0.0 and 1.0, milliseconds.
+const MAX_PAUSED_MS: (f64, f64) = (30_000.0, 5_000.0);
 
-/// An attempt at an engine.
+/// An attempt that runs or is paused at an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Occupant {
+struct PlacedAttempt {
     attempt: AttemptRef,
     service: ServiceName,
-    /// When it was paused, or started.
+    /// When the attempt was last started, paused or resumed, in milliseconds.
     since_ms: u64,
 }
 
@@ -33,34 +36,35 @@
     view: EngineView,
     policy: WindowPolicy,
     window: Window,
-    /// In the order of their starts.
-    running: Vec<Occupant>,
-    /// In the order of their pauses.
-    paused: Vec<Occupant>,
+    /// Running attempts. The last one is the first to be paused.
+    running: Vec<PlacedAttempt>,
+    /// Paused attempts. The first one is the first to be resumed.
+    paused: Vec<PlacedAttempt>,
     faults: u32,
     faulty_until_ms: u64,
 }
 
 impl EngineState {
-    /// Items that may be started here now.
-    fn room(&self, now_ms: u64) -> u32 {
-        match self.window.takes_starts(now_ms) {
-            true => self.places(now_ms),
+    /// Returns the number of items that may be started at this engine now.
+    fn slots_for_starting(&self, now_ms: u64) -> u32 {
+        match self.window.allows_start(now_ms) {
+            true => self.slots_for_leasing(now_ms),
             false => 0,
         }
     }
 
-    /// Items that may be started here now or soon.
-    fn places(&self, now_ms: u64) -> u32 {
+    /// Returns the number of items that may be started at this engine within
+    /// [`LEASE_AHEAD_MS`].
+    fn slots_for_leasing(&self, now_ms: u64) -> u32 {
         let usable = self.view.accepts_batch
             && self.paused.is_empty()
             && self.faulty_until_ms <= now_ms
-            && self.window.takes_starts(now_ms + LEASE_AHEAD_MS);
+            && self.window.allows_start(now_ms + LEASE_AHEAD_MS);
         if !usable {
             return 0;
         }
         let running = self.running.len() as u32;
-        self.window.open().saturating_sub(running)
+        self.window.start_limit().saturating_sub(running)
     }
 
     fn count(&self, service: &ServiceName) -> u32 {
@@ -69,30 +73,31 @@
     }
 }
 
-/// All engines of the node.
+/// All engines of the node, with the attempts placed at them.
 #[derive(Debug, Default)]
-pub struct EngineBoard {
+pub struct EngineTable {
     policies: BTreeMap<ServiceName, WindowPolicy>,
     engines: BTreeMap<EngineId, EngineState>,
 }
 
-impl EngineBoard {
-    /// The sharing rules changed.
+impl EngineTable {
+    /// Replaces the sharing policies of all services.
     pub fn set_policies(&mut self, policies: BTreeMap<ServiceName, WindowPolicy>) {
         self.policies = policies;
         for engine in self.engines.values_mut() {
-            engine.policy = combined(&self.policies, &engine.view.services);
+            engine.policy = strictest_policy(&self.policies, &engine.view.services);
         }
     }
 
-    /// Takes the engines as they are now. One that is no longer among them
-    /// stays while something runs there.
+    /// Updates the engines to `views`. An engine that is missing from `views`
+    /// accepts no more items; it is kept while attempts are placed there and
+    /// until its backoff has ended.
     pub fn observe(&mut self, now_ms: u64, views: Vec<EngineView>) {
         for engine in self.engines.values_mut() {
             engine.view.accepts_batch = false;
         }
         for view in views {
-            let policy = combined(&self.policies, &view.services);
+            let policy = strictest_policy(&self.policies, &view.services);
             match self.engines.get_mut(&view.id) {
                 Some(engine) => engine.observe(now_ms, view, policy),
                 None => {
@@ -107,18 +112,19 @@
         });
     }
 
-    /// Time has passed: windows grow.
+    /// Advances all windows to `now_ms`.
     pub fn tick(&mut self, now_ms: u64) {
         for engine in self.engines.values_mut() {
             engine.window.tick(now_ms, engine.view.load, engine.policy);
         }
     }
 
-    /// Attempts that must step aside now, the newest of each engine first.
+    /// Marks the attempts beyond each engine's window as paused and returns them,
+    /// the newest of each engine first.
     pub fn take_yields(&mut self, now_ms: u64) -> Vec<AttemptRef> {
         let mut yields = Vec::new();
         for engine in self.engines.values_mut() {
-            while engine.running.len() > engine.window.allowed() as usize {
+            while engine.running.len() > engine.window.run_limit() as usize {
                 let Some(mut newest) = engine.running.pop() else {
                     break;
                 };
@@ -130,12 +136,13 @@
         yields
     }
 
-    /// Paused attempts that may go on, the oldest of each engine first.
+    /// Marks the paused attempts that fit into each engine's window as running and
+    /// returns them, the one paused longest first.
     pub fn take_resumes(&mut self, now_ms: u64) -> Vec<AttemptRef> {
         let mut resumes = Vec::new();
         for engine in self.engines.values_mut() {
-            let room = (engine.window.open() as usize).saturating_sub(engine.running.len());
-            let count = room.min(engine.paused.len());
+            let free = (engine.window.start_limit() as usize).saturating_sub(engine.running.len());
+            let count = free.min(engine.paused.len());
             for mut occupant in engine.paused.drain(..count) {
                 occupant.since_ms = now_ms;
                 resumes.push(occupant.attempt);
@@ -145,38 +152,39 @@
         resumes
     }
 
-    /// Attempts that have been paused for too long by their service's weight.
+    /// Returns the attempts that have been paused longer than the tail weight of
+    /// their engine's policy allows.
     pub fn paused_too_long(&self, now_ms: u64) -> Vec<AttemptRef> {
         let engines = self.engines.values();
         let long = engines.flat_map(|engine| {
-            let limit = engine.policy.between(PAUSED_LIMIT_MS);
+            let limit = engine.policy.interpolate(MAX_PAUSED_MS);
             let paused = engine.paused.iter();
             paused.filter(move |one| one.since_ms + limit <= now_ms)
         });
         long.map(|one| one.attempt).collect()
     }
 
-    /// All attempts that are paused.
+    /// Returns all paused attempts.
     pub fn paused(&self) -> impl Iterator<Item = AttemptRef> + '_ {
         let engines = self.engines.values();
         engines.flat_map(|engine| engine.paused.iter().map(|one| one.attempt))
     }
 
-    /// Lets a paused attempt run whatever the window says.
+    /// Marks a paused attempt as running even if the window has no slot for it.
     pub fn force_resume(&mut self, now_ms: u64, attempt: AttemptRef) {
         for engine in self.engines.values_mut() {
             if let Some(at) = engine.paused.iter().position(|one| one.attempt == attempt) {
                 let mut occupant = engine.paused.remove(at);
                 occupant.since_ms = now_ms;
-                // At the front, where it is the last to step aside again.
+                // At the front, where it is the last to be paused again.
                 engine.running.insert(0, occupant);
             }
         }
     }
 
-    /// The engine with the most room for one item of a service that is not
-    /// among `tried`.
-    pub fn choose(
+    /// Returns the engine with the most free slots that can start an item of a
+    /// service now and is not among `tried`, or `None` if there is none.
+    pub fn choose_engine(
         &self,
         now_ms: u64,
         service: &ServiceName,
@@ -185,14 +193,16 @@
         let limit = self.policies.get(service)?.limit;
         let serving = self.serving(service);
         let usable = serving.filter(|(id, engine)| {
-            engine.room(now_ms) > 0 && engine.count(service) < limit && !tried.contains(id)
+            engine.slots_for_starting(now_ms) > 0
+                && engine.count(service) < limit
+                && !tried.contains(id)
         });
-        let best = usable.max_by_key(|(_, engine)| engine.room(now_ms))?;
+        let best = usable.max_by_key(|(_, engine)| engine.slots_for_starting(now_ms))?;
         Some(best.0.clone())
     }
 
-    /// Whether an engine that is not among `tried` could run an item of a
-    /// service once it has room.
+    /// Returns whether an engine that is not among `tried` could run an item of a
+    /// service once it has a free slot.
     pub fn has_untried(&self, service: &ServiceName, tried: &[EngineId]) -> bool {
         self.serving(service)
             .any(|(id, engine)| engine.view.accepts_batch && !tried.contains(id))
@@ -206,8 +216,8 @@
         engines.filter(|(_, engine)| engine.view.services.contains(service))
     }
 
-    /// An attempt begins at an engine.
-    pub fn start(
+    /// Records that an attempt starts at an engine.
+    pub fn record_start(
         &mut self,
         now_ms: u64,
         engine: &EngineId,
@@ -215,8 +225,8 @@
         service: &ServiceName,
     ) {
         if let Some(state) = self.engines.get_mut(engine) {
-            state.window.note_start(now_ms, state.policy);
-            state.running.push(Occupant {
+            state.window.record_start(now_ms, state.policy);
+            state.running.push(PlacedAttempt {
                 attempt,
                 service: service.clone(),
                 since_ms: now_ms,
@@ -224,20 +234,21 @@
         }
     }
 
-    /// An attempt is no longer at its engine.
-    pub fn end(&mut self, engine: &EngineId, attempt: AttemptRef) {
+    /// Records that an attempt has left its engine.
+    pub fn record_end(&mut self, engine: &EngineId, attempt: AttemptRef) {
         if let Some(state) = self.engines.get_mut(engine) {
             state.running.retain(|one| one.attempt != attempt);
             state.paused.retain(|one| one.attempt != attempt);
         }
     }
 
-    /// An attempt failed for a fault of its engine.
-    pub fn fault(&mut self, now_ms: u64, engine: &EngineId) {
+    /// Records that an attempt failed through a fault of its engine, which starts
+    /// nothing until its backoff has ended.
+    pub fn record_fault(&mut self, now_ms: u64, engine: &EngineId) {
         if let Some(state) = self.engines.get_mut(engine) {
             let doublings = state.faults.min(16);
-            let pause = (FAULT_PAUSE_MS << doublings).min(FAULT_PAUSE_LIMIT_MS);
-            // Failures of attempts that ran together are one fault.
+            let pause = (FAULT_BACKOFF_MS << doublings).min(MAX_FAULT_BACKOFF_MS);
+            // Attempts that fail together count as one fault.
             if state.faulty_until_ms <= now_ms {
                 state.faults += 1;
             }
@@ -245,20 +256,21 @@
         }
     }
 
-    /// An attempt came through at its engine.
-    pub fn success(&mut self, engine: &EngineId) {
+    /// Records that an attempt completed at its engine, which resets its backoff.
+    pub fn record_success(&mut self, engine: &EngineId) {
         if let Some(state) = self.engines.get_mut(engine) {
             state.faults = 0;
         }
     }
 
-    /// Places of each open engine with the services that may use it.
-    pub fn rooms(&self, now_ms: u64) -> impl Iterator<Item = (u32, &[ServiceName])> {
+    /// Returns, for each engine, the number of items that it can start now or soon
+    /// and the services it serves.
+    pub fn startable_items(&self, now_ms: u64) -> impl Iterator<Item = (u32, &[ServiceName])> {
         let engines = self.engines.values();
-        engines.map(move |engine| (engine.places(now_ms), &*engine.view.services))
+        engines.map(move |engine| (engine.slots_for_leasing(now_ms), &*engine.view.services))
     }
 
-    /// Items of each service that run here.
+    /// Returns the number of running attempts of each service.
     pub fn running_by_service(&self) -> BTreeMap<ServiceName, u32> {
         let mut counts = BTreeMap::new();
         for one in self.engines.values().flat_map(|engine| &engine.running) {
@@ -267,28 +279,28 @@
         counts
     }
 
-    /// Sums over all engines.
-    pub fn totals(&self) -> BoardTotals {
-        let mut totals = BoardTotals::default();
+    /// Returns the sums over all engines.
+    pub fn totals(&self) -> BatchTotals {
+        let mut totals = BatchTotals::default();
         for engine in self.engines.values() {
             totals.running += engine.running.len();
             totals.paused += engine.paused.len();
             if engine.view.accepts_batch {
-                totals.window += engine.window.allowed() as usize;
+                totals.window += engine.window.run_limit() as usize;
             }
         }
         totals
     }
 }
 
-/// Sums over all engines.
+/// Numbers of batch attempts, summed over all engines of the node.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct BoardTotals {
-    /// Attempts that run.
+pub struct BatchTotals {
+    /// Attempts that run at engines.
     pub running: usize,
-    /// Attempts that are paused.
+    /// Attempts that are paused at engines.
     pub paused: usize,
-    /// Attempts that may run at open engines.
+    /// Attempts that may run at the engines that accept batch.
     pub window: usize,
 }
 
@@ -306,24 +318,26 @@
     }
 
     fn observe(&mut self, now_ms: u64, view: EngineView, policy: WindowPolicy) {
-        let signs = [
-            (view.arrivals != self.view.arrivals, OnlineSign::Arrival),
+        let signals = [
+            (view.arrivals != self.view.arrivals, OnlineSignal::Arrival),
             (
                 view.preemptions != self.view.preemptions,
-                OnlineSign::Preemption,
+                OnlineSignal::Preemption,
             ),
-            (view.waiting, OnlineSign::Waiting),
+            (view.waiting, OnlineSignal::Waiting),
         ];
         self.view = view;
         self.policy = policy;
-        for (_, sign) in signs.into_iter().filter(|(seen, _)| *seen) {
-            self.window.sign(now_ms, sign, self.view.load, policy);
+        for (_, signal) in signals.into_iter().filter(|(seen, _)| *seen) {
+            self.window
+                .apply_signal(now_ms, signal, self.view.load, policy);
         }
     }
 }
 
-/// The rules of an engine that serves several services: the strictest of each.
-fn combined(
+/// Combines the policies of the services of one engine: the highest tail weight
+/// and the highest limit. Without a known service nothing may run there.
+fn strictest_policy(
     policies: &BTreeMap<ServiceName, WindowPolicy>,
     services: &[ServiceName],
 ) -> WindowPolicy {
--- a/crates/pinerill-node/src/batch/leases.rs
+++ b/crates/pinerill-node/src/batch/leases.rs
@@ -1,10 +1,11 @@
-//! Leases of one node: questions for items, renewals, and when each lease
-//! ends. Pure.
+//! The item leases of one node: lease requests, renewals and expiry times.
 //!
-//! A lease's end is counted from before its question or renewal was first
-//! sent, so it never lasts longer here than at its group. A question keeps its
-//! number until it is answered: the group gives the same items again, so none
-//! is leased to a node that does not know it.
+//! A lease expires a fixed time after its request or renewal was first sent, so
+//! it never lasts longer at the node than at its group. A lease request keeps
+//! its sequence number until it is answered. The group answers a repeated number
+//! with the same items, so no item is leased to a node that does not know of it.
+//!
+//! This module does no I/O and reads no clock; the planner passes in the time.
 
 use std::collections::BTreeMap;
 
@@ -12,21 +13,21 @@
 
 use super::message::NodeIdentity;
 
-/// How long a lease lasts without renewal, milliseconds. Longer than an
-/// election of a group takes, so that none is lost to one.
+/// Duration of a lease without renewal, milliseconds. It is longer than a leader
+/// election of a group takes, so that an election loses no lease.
 pub const LEASE_MS: u64 = 30_000;
-/// Age at which leases are renewed, milliseconds. The answer also tells which
-/// items were cancelled, so this bounds how long they go on.
+/// Age at which leases are record_renewed, milliseconds. The response to a renewal also
+/// lists cancelled items, so this bounds how long a cancelled item keeps running.
 const RENEWAL_AGE_MS: u64 = 3_000;
-/// A lease that ends within this time starts nothing, milliseconds.
-const START_MARGIN_MS: u64 = 3_000;
-/// Pause after a call that failed, milliseconds.
-const FAILED_PAUSE_MS: u64 = 200;
-/// Most attempts of one renewal.
-const RENEWAL_LIMIT: usize = 1_024;
+/// Least remaining time of a lease under which an item is started, milliseconds.
+const MIN_REMAINING_LEASE_MS: u64 = 3_000;
+/// Backoff after a failed lease request or renewal, milliseconds.
+const RETRY_BACKOFF_MS: u64 = 200;
+/// Most attempts in one renewal.
+const MAX_ATTEMPTS_PER_RENEWAL: usize = 1_024;
 
 #[derive(Debug, Clone)]
-struct Question {
+struct LeaseRequest {
     message: LeaseItems,
     first_sent_ms: u64,
     in_flight: bool,
@@ -42,22 +43,22 @@
 #[derive(Debug, Default)]
 struct GroupLeases {
     sequence: u64,
-    question: Option<Question>,
+    request: Option<LeaseRequest>,
     renewal: Option<Renewal>,
     renew_at_ms: u64,
-    /// When each lease ends.
-    ends: BTreeMap<AttemptRef, u64>,
+    /// Expiry time of each lease, in milliseconds of the node's clock.
+    expiries_ms: BTreeMap<AttemptRef, u64>,
 }
 
-/// All leases of the node.
+/// All leases of the node, with its open lease requests and renewals.
 #[derive(Debug)]
-pub struct LeaseBook {
+pub struct LeaseTable {
     node: NodeIdentity,
     groups: BTreeMap<u32, GroupLeases>,
 }
 
-impl LeaseBook {
-    /// No leases.
+impl LeaseTable {
+    /// Creates a table without leases.
     pub fn new(node: NodeIdentity) -> Self {
         Self {
             node,
@@ -65,28 +66,29 @@
         }
     }
 
-    /// Whether a question of this group is open.
-    pub fn has_question(&self, group: u32) -> bool {
+    /// Returns whether a lease request to this group is unanswered.
+    pub fn has_request(&self, group: u32) -> bool {
         let leases = self.groups.get(&group);
-        leases.is_some_and(|leases| leases.question.is_some())
+        leases.is_some_and(|leases| leases.request.is_some())
     }
 
-    /// Whether any question is open.
-    pub fn has_questions(&self) -> bool {
-        self.groups.values().any(|one| one.question.is_some())
+    /// Returns whether a lease request to any group is unanswered.
+    pub fn has_requests(&self) -> bool {
+        self.groups.values().any(|one| one.request.is_some())
     }
 
-    /// Items that open questions ask for, by service.
-    pub fn asked(&self) -> impl Iterator<Item = &LeaseWant> {
-        let questions = self.groups.values().filter_map(|one| one.question.as_ref());
-        questions.flat_map(|question| &question.message.wants)
+    /// Returns the items that unanswered lease requests add_request for, by service.
+    pub fn requested(&self) -> impl Iterator<Item = &LeaseWant> {
+        let requests = self.groups.values().filter_map(|one| one.request.as_ref());
+        requests.flat_map(|request| &request.message.wants)
     }
 
-    /// A new question to a group that has none open.
-    pub fn ask(&mut self, now_ms: u64, group: u32, wants: Vec<LeaseWant>) {
+    /// Creates a lease request to a group that has none unanswered.
+    /// [`Self::due_requests`] returns it for sending.
+    pub fn add_request(&mut self, now_ms: u64, group: u32, wants: Vec<LeaseWant>) {
         let leases = self.groups.entry(group).or_default();
         leases.sequence += 1;
-        leases.question = Some(Question {
+        leases.request = Some(LeaseRequest {
             message: LeaseItems {
                 group,
                 node: self.node.name.clone(),
@@ -101,78 +103,84 @@
         });
     }
 
-    /// Questions that are to be sent now, first ones and repeated ones.
-    pub fn due_questions(&mut self, now_ms: u64) -> Vec<LeaseItems> {
-        let questions = self
+    /// Returns the lease requests to send now, new ones and retries, and marks
+    /// them as in flight.
+    pub fn due_requests(&mut self, now_ms: u64) -> Vec<LeaseItems> {
+        let requests = self
             .groups
             .values_mut()
-            .filter_map(|one| one.question.as_mut());
-        let due = questions.filter(|one| !one.in_flight && one.retry_at_ms <= now_ms);
-        due.map(|question| {
-            question.in_flight = true;
-            question.message.clone()
+            .filter_map(|one| one.request.as_mut());
+        let due = requests.filter(|one| !one.in_flight && one.retry_at_ms <= now_ms);
+        due.map(|request| {
+            request.in_flight = true;
+            request.message.clone()
         })
         .collect()
     }
 
-    /// A question was answered. Returns what was asked.
-    pub fn answered(&mut self, group: u32, items: &[AttemptRef]) -> Vec<LeaseWant> {
+    /// Records the items that a group leased in response to the open request.
+    /// Returns what the request requested for; empty if no request was open.
+    pub fn record_leased(&mut self, group: u32, items: &[AttemptRef]) -> Vec<LeaseWant> {
         let leases = self.groups.entry(group).or_default();
-        let Some(question) = leases.question.take() else {
+        let Some(request) = leases.request.take() else {
             return Vec::new();
         };
-        let end = question.first_sent_ms + LEASE_MS;
-        leases.ends.extend(items.iter().map(|item| (*item, end)));
-        question.message.wants
+        let end = request.first_sent_ms + LEASE_MS;
+        leases
+            .expiries_ms
+            .extend(items.iter().map(|item| (*item, end)));
+        request.message.wants
     }
 
-    /// A question was not answered: it is sent again under its number, since
-    /// its items may have been leased.
-    pub fn question_failed(&mut self, now_ms: u64, group: u32) {
+    /// Schedules a retry of a lease request that was not answered. The retry keeps
+    /// the sequence number, since the group may have leased items already.
+    pub fn request_failed(&mut self, now_ms: u64, group: u32) {
         let leases = self.groups.entry(group).or_default();
-        if let Some(question) = &mut leases.question {
-            question.in_flight = false;
-            question.retry_at_ms = now_ms + FAILED_PAUSE_MS;
+        if let Some(request) = &mut leases.request {
+            request.in_flight = false;
+            request.retry_at_ms = now_ms + RETRY_BACKOFF_MS;
         }
     }
 
-    /// The end of a lease that lasts long enough to start something under it.
-    pub fn end_for_start(&self, now_ms: u64, attempt: AttemptRef) -> Option<u64> {
+    /// Returns when the lease of an attempt expires, in milliseconds, or `None` if
+    /// there is no lease or too little of it is left to start the item.
+    pub fn expiry_for_start(&self, now_ms: u64, attempt: AttemptRef) -> Option<u64> {
         let leases = self.groups.get(&attempt.job.group)?;
-        let end = leases.ends.get(&attempt).copied();
-        end.filter(|end| now_ms + START_MARGIN_MS < *end)
+        let end = leases.expiries_ms.get(&attempt).copied();
+        end.filter(|end| now_ms + MIN_REMAINING_LEASE_MS < *end)
     }
 
-    /// A lease is of no use any more.
-    pub fn drop(&mut self, attempt: AttemptRef) {
+    /// Removes a lease that is not needed any more.
+    pub fn remove(&mut self, attempt: AttemptRef) {
         if let Some(leases) = self.groups.get_mut(&attempt.job.group) {
-            leases.ends.remove(&attempt);
+            leases.expiries_ms.remove(&attempt);
         }
     }
 
-    /// Leases that have run out; they are forgotten.
+    /// Removes the expired leases and returns their attempts.
     pub fn take_expired(&mut self, now_ms: u64) -> Vec<AttemptRef> {
         let mut expired = Vec::new();
         for leases in self.groups.values_mut() {
-            leases.ends.retain(|attempt, end| {
-                let holds = now_ms < *end;
-                if !holds {
+            leases.expiries_ms.retain(|attempt, end| {
+                let is_valid = now_ms < *end;
+                if !is_valid {
                     expired.push(*attempt);
                 }
-                holds
+                is_valid
             });
         }
         expired
     }
 
-    /// Renewals that are to be sent now, one a group.
+    /// Returns the renewals to send now, at most one per group, and marks them as
+    /// in flight.
     pub fn due_renewals(&mut self, now_ms: u64) -> Vec<RenewLeases> {
         let mut due = Vec::new();
         for (group, leases) in &mut self.groups {
             if leases.renewal.is_some() || now_ms < leases.renew_at_ms {
                 continue;
             }
-            let attempts = oldest_due(&leases.ends, now_ms);
+            let attempts = attempts_to_renew(&leases.expiries_ms, now_ms);
             if attempts.is_empty() {
                 continue;
             }
@@ -190,40 +198,45 @@
         due
     }
 
-    /// A renewal was answered; `lost` are no more and are forgotten.
-    pub fn renewed(&mut self, group: u32, lost: &[AttemptRef]) {
+    /// Extends the leases of a renewal that was answered and removes those that the
+    /// group reported as `lost`.
+    pub fn record_renewed(&mut self, group: u32, lost: &[AttemptRef]) {
         let leases = self.groups.entry(group).or_default();
         let Some(renewal) = leases.renewal.take() else {
             return;
         };
         for attempt in renewal.attempts {
-            if let Some(end) = leases.ends.get_mut(&attempt) {
+            if let Some(end) = leases.expiries_ms.get_mut(&attempt) {
                 *end = (*end).max(renewal.sent_ms + LEASE_MS);
             }
         }
         for attempt in lost {
-            leases.ends.remove(attempt);
+            leases.expiries_ms.remove(attempt);
         }
     }
 
-    /// A renewal failed: its leases keep their ends.
+    /// Schedules a retry of a renewal that failed. Its leases keep their expiry
+    /// times.
     pub fn renewal_failed(&mut self, now_ms: u64, group: u32) {
         let leases = self.groups.entry(group).or_default();
         leases.renewal = None;
-        leases.renew_at_ms = now_ms + FAILED_PAUSE_MS;
+        leases.renew_at_ms = now_ms + RETRY_BACKOFF_MS;
     }
 }
 
-/// Leases old enough for a renewal, with all others of the group that fit, so
-/// that one message renews them together.
-fn oldest_due(ends: &BTreeMap<AttemptRef, u64>, now_ms: u64) -> Vec<AttemptRef> {
+/// Returns the attempts to renew, those that expire first in front. If any lease
+/// is old enough, the other leases of the group are included up to the size
+/// limit, so that one message renews them together; otherwise it is empty.
+fn attempts_to_renew(expiries_ms: &BTreeMap<AttemptRef, u64>, now_ms: u64) -> Vec<AttemptRef> {
     let aged = now_ms + LEASE_MS - RENEWAL_AGE_MS;
-    if !ends.values().any(|end| *end <= aged) {
+    if !expiries_ms.values().any(|end| *end <= aged) {
         return Vec::new();
     }
-    let mut attempts: Vec<(u64, AttemptRef)> =
-        ends.iter().map(|(attempt, end)| (*end, *attempt)).collect();
+    let mut attempts: Vec<(u64, AttemptRef)> = expiries_ms
+        .iter()
+        .map(|(attempt, end)| (*end, *attempt))
+        .collect();
     attempts.sort_unstable();
-    attempts.truncate(RENEWAL_LIMIT);
+    attempts.truncate(MAX_ATTEMPTS_PER_RENEWAL);
     attempts.into_iter().map(|(_, attempt)| attempt).collect()
 }
--- a/crates/pinerill-node/src/batch/message.rs
+++ b/crates/pinerill-node/src/batch/message.rs
@@ -1,4 +1,6 @@
-//! What goes into the planner and what comes out of it.
+//! The inputs and outputs of the batch planner.
+//!
+//! The shell translates events into [`Input`]s and carries out the [`Output`]s.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,159 +11,166 @@
 
 use super::window::{EngineLoad, WindowPolicy};
 
-/// The node as job groups know it.
+/// Identifies the node to job groups.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NodeIdentity {
-    /// Its name.
+    /// The node's name, which stays the same over restarts.
     pub name: NodeName,
-    /// Random number of this start.
+    /// Random number that distinguishes this start of the node from others.
     pub incarnation: u64,
 }
 
-/// One engine as the planner sees it.
+/// The state of one engine at one time, as the planner needs it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineView {
-    /// Its name.
+    /// The engine's worker and its number there.
     pub id: EngineId,
-    /// Services that it serves.
+    /// Services whose requests the engine decodes.
     pub services: Arc<[ServiceName]>,
-    /// Its load.
+    /// The number of slots and of online requests.
     pub load: EngineLoad,
-    /// This node drives its batch and its worker takes new work.
+    /// Whether this node assigns batch items to the engine and its worker accepts
+    /// new work.
     pub accepts_batch: bool,
-    /// Arrivals of online requests seen so far.
+    /// Online requests that this node has seen arrive at the engine; a counter.
     pub arrivals: u64,
-    /// Preemptions reported so far.
+    /// Preemptions of batch items that the engine has reported; a counter.
     pub preemptions: u64,
-    /// An online request of one of its services waits for a place.
+    /// Whether an online request of one of its services waits for a slot.
     pub waiting: bool,
 }
 
-/// Items that wait for a lease, by service and group. A hint.
+/// Number of items that wait for a lease, by service and job group. It is only a
+/// hint and may be out of date.
 pub type Backlog = BTreeMap<ServiceName, BTreeMap<u32, u64>>;
 
-/// A call to a job group was not answered; it may have been carried out.
+/// Error of a call to a job group without a usable response. The group may have
+/// carried it out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NotAnswered;
 
-/// How a run at an engine ended.
+/// The outcome of one run of an item at one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The whole answer, as JSON.
+    /// The item completed; holds the response body as JSON.
     Completed(String),
-    /// An error that another engine would give as well, as JSON.
+    /// The item failed in a way that every engine would repeat; holds the error as
+    /// JSON.
     Failed(String),
-    /// It certainly did not run there and never will.
+    /// The item did not run at the engine and never will; holds the cause.
     NotRun(String),
-    /// It may have run there, and its answer can't be had.
+    /// The item may have run at the engine, but its answer can't be retrieved;
+    /// holds the cause.
     Lost(String),
-    /// It was stopped as told, and never ran.
+    /// The run was stopped on command before the engine began it.
     StoppedBeforeStart,
-    /// It was stopped as told, and may have run in part.
+    /// The run was stopped on command and may have run in part.
     Stopped,
 }
 
-/// What is told to a run at an engine.
+/// A command to a run at an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunCommand {
-    /// Go on, or begin again after a pause.
+    /// Run, or resume after a pause.
     Run,
-    /// Step aside, keeping what was done.
+    /// Pause and free the slot, keeping the tokens decoded so far.
     Pause,
-    /// End it at the engine.
+    /// Cancel the item at the engine.
     Stop,
 }
 
-/// Something happened.
+/// An event that the planner reacts to.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
     /// Time has passed.
     Tick,
-    /// The engines that this node uses, all of them.
+    /// The current state of all engines that this node uses.
     Engines(Vec<EngineView>),
-    /// The sharing rules of all services.
+    /// The sharing policies of all services.
     Policies(BTreeMap<ServiceName, WindowPolicy>),
-    /// Where items wait.
+    /// Where items wait for a lease.
     Backlog(Backlog),
-    /// Answer to [`Output::Lease`].
+    /// The response to [`Output::Lease`].
     Leased {
         /// The group.
         group: u32,
-        /// The items.
+        /// The leased items.
         result: Result<Vec<LeasedItem>, NotAnswered>,
     },
-    /// Answer to [`Output::Renew`].
+    /// The response to [`Output::Renew`].
     Renewed {
         /// The group.
         group: u32,
-        /// Leases that are no more.
+        /// Attempts whose leases the group has ended.
         result: Result<Vec<AttemptRef>, NotAnswered>,
     },
-    /// Answer to [`Output::Report`].
+    /// The response to [`Output::Report`].
     Reported {
         /// The group.
         group: u32,
-        /// Verdicts in the order of the reports.
+        /// One verdict per report, in the order of the reports.
         result: Result<Vec<AttemptVerdict>, NotAnswered>,
     },
-    /// A run ended.
+    /// A run at an engine ended.
     Ended {
-        /// Which attempt.
+        /// The attempt that the run belonged to.
         attempt: AttemptRef,
-        /// How.
+        /// The outcome of the run.
         end: RunEnd,
     },
-    /// The node stops: what runs may finish until `grace_ms` from now.
+    /// The node drains: it leases nothing more, and running items may finish within
+    /// `grace_ms`.
     Drain {
-        /// Milliseconds.
+        /// Time for repeatable items to finish, in milliseconds from now.
         grace_ms: u64,
     },
 }
 
-/// Something is to be done.
+/// An action that the planner requests from the shell.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Ask a group for items; answered by [`Input::Leased`].
+    /// Request items from a group; answered by [`Input::Leased`].
     Lease(LeaseItems),
-    /// Renew leases; answered by [`Input::Renewed`].
+    /// Renew leases at a group; answered by [`Input::Renewed`].
     Renew(RenewLeases),
-    /// Report ends; answered by [`Input::Reported`].
+    /// Report the ends of attempts to a group; answered by [`Input::Reported`].
     Report(EndAttempts),
-    /// Run an item; ended by [`Input::Ended`].
+    /// Start an item at an engine; its end is reported by [`Input::Ended`].
     Start {
-        /// Which attempt.
+        /// The attempt under whose lease the item runs.
         attempt: AttemptRef,
-        /// The item.
+        /// The item with its request body.
         item: Arc<LeasedItem>,
-        /// Where.
+        /// The engine to run the item at.
         engine: EngineId,
-        /// When its lease ends; nothing is sent after it.
+        /// When the lease expires, in milliseconds of the node's clock; the item is
+        /// not sent after that.
         lease_end_ms: u64,
     },
-    /// Tell a run something.
+    /// Send a command to a run.
     Command {
-        /// Which attempt.
+        /// The attempt that the run belongs to.
         attempt: AttemptRef,
-        /// What.
+        /// The command, which replaces earlier ones.
         command: RunCommand,
     },
-    /// Forget all that is kept of an attempt.
+    /// Discard the partial answer of an attempt that has ended at this node.
     Forget(AttemptRef),
-    /// Something to count.
+    /// Increment the counter of this event.
     Count(Event),
 }
 
-/// What operators count.
+/// An event that is counted in the node's metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// So many items were leased.
+    /// This number of items was leased.
     Leased(u64),
-    /// An item was paused for online work.
+    /// An item was paused in favor of online requests.
     Yielded,
-    /// An item left its engine for another.
+    /// A paused item was stopped so that it can move to another engine.
     Moved,
-    /// A lease was lost, by time or by word of its group.
+    /// A lease expired, or its group ended it.
     LeaseLost,
-    /// A report got this verdict.
+    /// A group answered a report; holds the label of the verdict.
     Verdict(&'static str),
 }
--- a/crates/pinerill-node/src/batch/mod.rs
+++ b/crates/pinerill-node/src/batch/mod.rs
@@ -1,8 +1,9 @@
-//! Batch items on the workers that this node drives.
+//! Runs batch items on the workers that are assigned to this node.
 //!
-//! [`Planner`] decides, and is pure: it is given time, the engines' loads, what
-//! groups answer and how runs end, and says what to lease, start, pause, stop
-//! and report. [`BatchShell`] carries that out.
+//! [`Planner`] makes all decisions without I/O. Its inputs are the time, engine
+//! loads, responses of job groups and outcomes of runs; its outputs say what to
+//! lease, start, pause, stop and report. [`BatchShell`] feeds it and carries out
+//! its outputs.
 
 mod calls;
 mod control;
@@ -18,11 +19,11 @@
 mod window;
 
 pub use control::BatchControl;
-pub use engines::BoardTotals;
+pub use engines::BatchTotals;
 pub use leases::LEASE_MS;
 pub use message::{
     Backlog, EngineView, Event, Input, NodeIdentity, NotAnswered, Output, RunCommand, RunEnd,
 };
 pub use planner::Planner;
 pub use shell::{request_id, BatchShell};
-pub use window::{EngineLoad, OnlineSign, Window, WindowPolicy};
+pub use window::{EngineLoad, OnlineSignal, Window, WindowPolicy};
--- a/crates/pinerill-node/src/batch/observer.rs
+++ b/crates/pinerill-node/src/batch/observer.rs
@@ -1,4 +1,4 @@
-//! The engines of the fleet as the planner sees them.
+//! Derives the planner's view of the engines from the fleet.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::atomic::Ordering;
@@ -13,18 +13,19 @@
 use crate::dispatcher::Dispatcher;
 use crate::membership::{Engine, Fleet, FleetView};
 
-/// Looks at the fleet.
+/// Builds the planner's inputs from the fleet, the dispatcher and the catalog.
 pub struct EngineObserver {
     fleet: Arc<Fleet>,
     dispatcher: Arc<Dispatcher>,
     catalog: Option<Arc<Catalog>>,
-    /// The view that `services` was derived from.
+    /// The fleet view that `services` was derived from.
     view: Arc<FleetView>,
     services: HashMap<EngineId, Arc<[ServiceName]>>,
 }
 
 impl EngineObserver {
-    /// Looks at this fleet, and at who waits at this dispatcher.
+    /// Creates an observer of the engines of `fleet` and of the online requests
+    /// that wait in the queue of `dispatcher`.
     pub fn new(fleet: Arc<Fleet>, dispatcher: Arc<Dispatcher>) -> Self {
         Self {
             fleet,
@@ -35,7 +36,8 @@
         }
     }
 
-    /// The sharing rules, if they may have changed since the last call.
+    /// Returns the sharing policies of all services, or `None` if there is no
+    /// catalog or it has not changed since the last call.
     pub fn policies(
         &mut self,
         configuration: &Configuration,
@@ -58,8 +60,8 @@
         Some(policies)
     }
 
-    /// All engines as they are now. Routing is told which of them batch work
-    /// of the services in `backlogged` waits for.
+    /// Returns the current state of all engines. Also marks the engines that serve
+    /// a service in `backlogged`, so that routing knows where batch work waits.
     pub fn views(&mut self, backlogged: &BTreeSet<ServiceName>) -> Vec<EngineView> {
         let view = self.fleet.view();
         if !Arc::ptr_eq(&view, &self.view) {
@@ -97,7 +99,8 @@
             slots: load.slots(),
             online: own + elsewhere,
         },
-        // An engine that has not reported may be full of online work.
+        // An engine that has not reported its load yet may be full of online
+        // requests.
         accepts_batch: load.has_reported()
             && engine.worker.is_driven()
             && engine.worker.accepts_work(now_ms),
@@ -107,7 +110,7 @@
     }
 }
 
-/// Which services an engine decodes for.
+/// Returns the services that each engine decodes for, sorted by name.
 fn services_by_engine(view: &FleetView) -> HashMap<EngineId, Arc<[ServiceName]>> {
     let mut services: HashMap<EngineId, Vec<ServiceName>> = HashMap::new();
     for (name, engines) in &view.services {
--- a/crates/pinerill-node/src/batch/outbox.rs
+++ b/crates/pinerill-node/src/batch/outbox.rs
@@ -1,7 +1,8 @@
-//! Ends of attempts on their way to their groups. Pure.
+//! Queues the reports of ended attempts until their groups have answered.
 //!
-//! A report stays until its group has answered, and may be sent many times:
-//! the group gives the same verdict again.
+//! A report may be sent several times; the group returns the same verdict each
+//! time. This module does no I/O and reads no clock; the planner passes in the
+//! time.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,24 +11,26 @@
 
 use super::message::NodeIdentity;
 
-/// How long a report waits for others, milliseconds.
+/// How long the first report in an empty queue waits for others to share its
+/// message, milliseconds.
 const LINGER_MS: u64 = 10;
-/// Pause after a call that failed, milliseconds.
-const FAILED_PAUSE_MS: u64 = 200;
-/// Most reports of one message.
-const REPORTS_LIMIT: usize = 512;
-/// Most bytes of answers in one message, unless one alone has more.
-const BYTES_LIMIT: usize = 4 * 1024 * 1024;
+/// Backoff after a message that failed, milliseconds.
+const RETRY_BACKOFF_MS: u64 = 200;
+/// Most reports in one message.
+const MAX_REPORTS_PER_MESSAGE: usize = 512;
+/// Most payload bytes in one message. A single larger report is sent alone.
+const MAX_BYTES_PER_MESSAGE: usize = 4 * 1024 * 1024;
 
 #[derive(Debug, Default)]
 struct GroupOutbox {
     waiting: VecDeque<AttemptReport>,
-    /// How many of `waiting`, from the front, were sent and not answered.
+    /// Number of reports at the front of `waiting` that were sent and not
+    /// answered.
     in_flight: usize,
     due_ms: u64,
 }
 
-/// Reports to all groups.
+/// The queued reports to all groups.
 #[derive(Debug)]
 pub struct Outbox {
     node: NodeIdentity,
@@ -35,7 +38,7 @@
 }
 
 impl Outbox {
-    /// No reports.
+    /// Creates an outbox without reports.
     pub fn new(node: NodeIdentity) -> Self {
         Self {
             node,
@@ -43,17 +46,17 @@
         }
     }
 
-    /// Whether no report waits for an answer.
+    /// Returns whether every report was answered.
     pub fn is_empty(&self) -> bool {
         self.groups.values().all(|group| group.waiting.is_empty())
     }
 
-    /// How many reports wait for an answer.
+    /// Returns the number of reports that are queued or in flight.
     pub fn len(&self) -> usize {
         self.groups.values().map(|group| group.waiting.len()).sum()
     }
 
-    /// Adds a report.
+    /// Queues the report of an attempt's end for the group of its job.
     pub fn push(&mut self, now_ms: u64, attempt: AttemptRef, end: AttemptEnd) {
         let group = self.groups.entry(attempt.job.group).or_default();
         if group.waiting.is_empty() {
@@ -62,7 +65,8 @@
         group.waiting.push_back(AttemptReport { attempt, end });
     }
 
-    /// Messages that are to be sent now, one a group.
+    /// Returns the messages to send now, at most one per group, and marks their
+    /// reports as in flight.
     pub fn due(&mut self, now_ms: u64) -> Vec<EndAttempts> {
         let mut due = Vec::new();
         for (group, outbox) in &mut self.groups {
@@ -70,7 +74,7 @@
             if outbox.in_flight > 0 || !ready {
                 continue;
             }
-            outbox.in_flight = fitting(&outbox.waiting);
+            outbox.in_flight = reports_in_message(&outbox.waiting);
             due.push(EndAttempts {
                 group: *group,
                 node: self.node.name.clone(),
@@ -85,31 +89,36 @@
         due
     }
 
-    /// A message was answered. Returns what it reported.
-    pub fn answered(&mut self, group: u32) -> Vec<AttemptReport> {
+    /// Removes the reports of a message that was answered and returns them in the
+    /// order of the message.
+    pub fn record_answered(&mut self, group: u32) -> Vec<AttemptReport> {
         let outbox = self.groups.entry(group).or_default();
         let count = std::mem::take(&mut outbox.in_flight);
         outbox.waiting.drain(..count).collect()
     }
 
-    /// A message failed, and is sent again.
-    pub fn failed(&mut self, now_ms: u64, group: u32) {
+    /// Schedules a retry of a message that failed.
+    pub fn record_failed(&mut self, now_ms: u64, group: u32) {
         let outbox = self.groups.entry(group).or_default();
         outbox.in_flight = 0;
-        outbox.due_ms = now_ms + FAILED_PAUSE_MS;
+        outbox.due_ms = now_ms + RETRY_BACKOFF_MS;
     }
 }
 
-fn fitting(waiting: &VecDeque<AttemptReport>) -> usize {
+/// Returns how many reports from the front fit into one message, at least 1.
+fn reports_in_message(waiting: &VecDeque<AttemptReport>) -> usize {
     let mut bytes = 0;
-    let fitting = waiting.iter().take(REPORTS_LIMIT).take_while(|report| {
-        bytes += size(&report.end);
-        bytes <= BYTES_LIMIT
-    });
+    let fitting = waiting
+        .iter()
+        .take(MAX_REPORTS_PER_MESSAGE)
+        .take_while(|report| {
+            bytes += payload_bytes(&report.end);
+            bytes <= MAX_BYTES_PER_MESSAGE
+        });
     fitting.count().max(1)
 }
 
-fn size(end: &AttemptEnd) -> usize {
+fn payload_bytes(end: &AttemptEnd) -> usize {
     match end {
         AttemptEnd::Completed(text)
         | AttemptEnd::Failed(text)
--- a/crates/pinerill-node/src/batch/planner/answers.rs
+++ b/crates/pinerill-node/src/batch/planner/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of the groups.
+//! Handles the responses of job groups to lease requests, renewals and reports.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::batch::message::{Event, NotAnswered, Output};
 
 impl Planner {
-    pub(super) fn leased(
+    pub(super) fn on_leased(
         &mut self,
         now_ms: u64,
         group: u32,
@@ -17,14 +17,14 @@
         out: &mut Vec<Output>,
     ) {
         let Ok(items) = result else {
-            self.leases.question_failed(now_ms, group);
+            self.leases.request_failed(now_ms, group);
             return;
         };
-        let attempts: Vec<AttemptRef> = items.iter().map(reference).collect();
-        for want in self.leases.answered(group, &attempts) {
+        let attempts: Vec<AttemptRef> = items.iter().map(attempt_ref).collect();
+        for want in self.leases.record_leased(group, &attempts) {
             let got = items.iter().filter(|item| item.service == want.service);
             let got = got.count() as u32;
-            self.hints.answered(now_ms, group, &want, got);
+            self.hints.record_response(now_ms, group, &want, got);
         }
         if !items.is_empty() {
             out.push(Output::Count(Event::Leased(items.len() as u64)));
@@ -36,13 +36,13 @@
                 stage: Stage::Ready { since_ms: now_ms },
                 tried: Vec::new(),
                 may_have_run: false,
-                broke_off: None,
+                lost_cause: None,
             };
             self.items.insert(attempt, item);
         }
     }
 
-    pub(super) fn renewed(
+    pub(super) fn on_renewed(
         &mut self,
         now_ms: u64,
         group: u32,
@@ -52,13 +52,14 @@
         match result {
             Err(NotAnswered) => self.leases.renewal_failed(now_ms, group),
             Ok(lost) => {
-                self.leases.renewed(group, &lost);
-                lost.into_iter().for_each(|attempt| self.lose(attempt, out));
+                self.leases.record_renewed(group, &lost);
+                lost.into_iter()
+                    .for_each(|attempt| self.end_lease(attempt, out));
             }
         }
     }
 
-    pub(super) fn reported(
+    pub(super) fn on_reported(
         &mut self,
         now_ms: u64,
         group: u32,
@@ -66,23 +67,23 @@
         out: &mut Vec<Output>,
     ) {
         let Ok(verdicts) = result else {
-            self.outbox.failed(now_ms, group);
+            self.outbox.record_failed(now_ms, group);
             return;
         };
-        let reports = self.outbox.answered(group);
+        let reports = self.outbox.record_answered(group);
         for (report, verdict) in reports.into_iter().zip(verdicts) {
-            self.leases.drop(report.attempt);
-            let word = match verdict {
-                AttemptVerdict::Counted => end_word(&report.end),
+            self.leases.remove(report.attempt);
+            let label = match verdict {
+                AttemptVerdict::Counted => end_label(&report.end),
                 AttemptVerdict::Late => "late",
                 AttemptVerdict::Unknown => "unknown",
             };
-            out.push(Output::Count(Event::Verdict(word)));
+            out.push(Output::Count(Event::Verdict(label)));
         }
     }
 }
 
-fn reference(item: &LeasedItem) -> AttemptRef {
+fn attempt_ref(item: &LeasedItem) -> AttemptRef {
     AttemptRef {
         job: item.job,
         index: item.index,
@@ -90,7 +91,7 @@
     }
 }
 
-fn end_word(end: &AttemptEnd) -> &'static str {
+fn end_label(end: &AttemptEnd) -> &'static str {
     match end {
         AttemptEnd::Completed(_) => "completed",
         AttemptEnd::Failed(_) => "failed",
--- a/crates/pinerill-node/src/batch/planner/placing.rs
+++ b/crates/pinerill-node/src/batch/planner/placing.rs
@@ -1,4 +1,4 @@
-//! Items that wait for an engine, and questions for more.
+//! Places waiting items at engines and requests more items.
 
 use std::collections::BTreeMap;
 
@@ -6,30 +6,32 @@
 use pinerill_wire::message::AttemptRef;
 
 use super::{Planner, Stage};
-use crate::batch::demand::free_places;
+use crate::batch::demand::lease_demand;
 use crate::batch::message::Output;
 
-/// Longest wait of a leased item for an engine, milliseconds; then another
-/// node may have it.
-const READY_LIMIT_MS: u64 = 5_000;
-/// Most reports that wait while more items are leased.
-const REPORTS_LIMIT: usize = 4_096;
+/// Longest wait of a leased item for an engine, milliseconds. After that it is
+/// returned to its group, so that another node can run it.
+const MAX_READY_MS: u64 = 5_000;
+/// Number of undelivered reports from which on no more items are leased.
+const MAX_QUEUED_REPORTS: usize = 4_096;
 
 impl Planner {
+    /// Starts the waiting items for which an engine has a free slot, those with the
+    /// earliest deadline first.
     pub(super) fn start_ready(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         let waiting: Vec<AttemptRef> = self.ready.iter().map(|(_, one)| *one).collect();
         for attempt in waiting {
             let Some(item) = self.items.get_mut(&attempt) else {
                 continue;
             };
-            let Some(lease_end_ms) = self.leases.end_for_start(now_ms, attempt) else {
+            let Some(lease_end_ms) = self.leases.expiry_for_start(now_ms, attempt) else {
                 continue;
             };
             let service = &item.lease.service;
-            let Some(engine) = self.board.choose(now_ms, service, &item.tried) else {
+            let Some(engine) = self.engines.choose_engine(now_ms, service, &item.tried) else {
                 continue;
             };
-            self.board.start(now_ms, &engine, attempt, service);
+            self.engines.record_start(now_ms, &engine, attempt, service);
             self.ready.remove(&(item.lease.deadline_ms, attempt));
             item.stage = Stage::AtEngine(engine.clone());
             out.push(Output::Start {
@@ -41,6 +43,8 @@
         }
     }
 
+    /// Returns items to their groups that have waited too long for an engine or
+    /// have no engine left to try.
     pub(super) fn release_stale(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         let stale: Vec<AttemptRef> = self
             .ready
@@ -49,7 +53,7 @@
             .filter(|attempt| self.is_stale(now_ms, *attempt))
             .collect();
         for attempt in stale {
-            self.give_back(now_ms, attempt, out);
+            self.return_to_group(now_ms, attempt, out);
         }
     }
 
@@ -60,34 +64,36 @@
         let Stage::Ready { since_ms } = item.stage else {
             return false;
         };
-        let waited = since_ms + READY_LIMIT_MS <= now_ms;
-        waited || !self.board.has_untried(&item.lease.service, &item.tried)
+        let waited = since_ms + MAX_READY_MS <= now_ms;
+        waited || !self.engines.has_untried(&item.lease.service, &item.tried)
     }
 
-    pub(super) fn ask(&mut self, now_ms: u64) {
-        if self.drain_until_ms.is_some() || self.outbox.len() >= REPORTS_LIMIT {
+    /// Creates lease requests for the free slots that neither waiting items nor
+    /// unanswered requests will fill.
+    pub(super) fn request_items(&mut self, now_ms: u64) {
+        if self.drain_until_ms.is_some() || self.outbox.len() >= MAX_QUEUED_REPORTS {
             return;
         }
-        let mut wanted = free_places(&self.board, self.hints.backlog(), now_ms);
+        let mut wanted = lease_demand(&self.engines, self.hints.backlog(), now_ms);
         for (_, attempt) in &self.ready {
             if let Some(item) = self.items.get(attempt) {
-                reduce(&mut wanted, &item.lease.service, 1);
+                subtract(&mut wanted, &item.lease.service, 1);
             }
         }
-        for want in self.leases.asked() {
-            reduce(&mut wanted, &want.service, want.limit);
+        for want in self.leases.requested() {
+            subtract(&mut wanted, &want.service, want.limit);
         }
         let leases = &self.leases;
-        let questions = self
+        let requests = self
             .hints
-            .questions(now_ms, wanted, |group| !leases.has_question(group));
-        for (group, wants) in questions {
-            self.leases.ask(now_ms, group, wants);
+            .lease_requests(now_ms, wanted, |group| !leases.has_request(group));
+        for (group, wants) in requests {
+            self.leases.add_request(now_ms, group, wants);
         }
     }
 }
 
-fn reduce(wanted: &mut BTreeMap<ServiceName, u32>, service: &ServiceName, count: u32) {
+fn subtract(wanted: &mut BTreeMap<ServiceName, u32>, service: &ServiceName, count: u32) {
     if let Some(wanted) = wanted.get_mut(service) {
         *wanted = wanted.saturating_sub(count);
     }
--- a/crates/pinerill-node/src/batch/run.rs
+++ b/crates/pinerill-node/src/batch/run.rs
@@ -1,5 +1,6 @@
-//! One item at one engine: send, read, step aside when told, resume after a
-//! cut, and say how it ended.
+//! Runs one item at one engine: sends the request, reads the answer, pauses and
+//! stops on command, reattaches after a broken connection, and returns the
+//! outcome.
 
 mod reading;
 
@@ -23,65 +24,68 @@
 use crate::metrics::Metrics;
 use crate::online::{parse_request, Encoder, ParsedRequest, RequestKind};
 
-/// Longest wait for the answer to a cancel, and for a head after it.
+/// Longest wait for the response to a cancel, and for the response head of the
+/// cancelled request after it.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The newest command to a run, and since when it holds.
+/// The newest command to a run, with the time at which it was issued.
 #[derive(Debug, Clone, Copy)]
-pub struct Told {
-    /// The command.
+pub struct TimedCommand {
+    /// The command, which replaces all earlier ones.
     pub command: RunCommand,
-    /// When it was decided.
+    /// When the planner issued the command.
     pub since: Instant,
 }
 
-/// What was read of an answer so far.
+/// The part of an answer that was read so far.
 #[derive(Debug)]
-pub struct Partial {
-    /// The version that it came from.
+pub struct PartialAnswer {
+    /// The model version that generated the part; `None` if no run got that far.
     pub served: Option<Served>,
-    /// The answer.
+    /// The reader that holds the text and the offset to resume from.
     pub reader: AnswerReader,
 }
 
-/// One item at one engine.
+/// Everything that one run of an item at one engine needs.
 pub struct EngineRun {
-    /// The engine.
+    /// The engine that the item runs at.
     pub engine: Arc<Engine>,
-    /// Takes in what is learnt of workers.
+    /// Records connection failures and rejections of workers.
     pub fleet: Arc<Fleet>,
-    /// Counters.
+    /// The node's metrics.
     pub metrics: Arc<Metrics>,
-    /// The item's service.
+    /// The plan of the item's service.
     pub plan: Arc<ServicePlan>,
-    /// The names under which the engine serves it.
+    /// The model and adapter names under which the engine serves the service.
     pub served: Served,
-    /// The item.
+    /// The item with its request body.
     pub item: Arc<LeasedItem>,
-    /// Its identifier at engines.
+    /// The identifier of the attempt at engines.
     pub request_id: String,
-    /// When its lease ends, by the node's clock; nothing is sent after it.
+    /// When the lease expires, in milliseconds of the node's clock; the item is not
+    /// sent after that.
     pub lease_end_ms: u64,
-    /// What it is told.
-    pub told: watch::Receiver<Told>,
-    /// What engines before gave of the answer.
-    pub partial: Partial,
+    /// The newest command of the planner. A closed channel counts as a stop.
+    pub commands: watch::Receiver<TimedCommand>,
+    /// The part of the answer that earlier engines generated.
+    pub partial: PartialAnswer,
 }
 
-/// The state of a run that is under way.
+/// The state of a run that has begun.
 struct Session {
     run: EngineRun,
     client: EngineClient,
     kind: RequestKind,
-    /// The last command that the engine has carried out.
-    applied: RunCommand,
+    /// The last command that the engine has confirmed.
+    confirmed: RunCommand,
 }
 
-type Ended<T> = Result<T, RunEnd>;
+type RunResult<T> = Result<T, RunEnd>;
 
 impl EngineRun {
-    /// Runs it to its end at this engine.
-    pub async fn run(self) -> (RunEnd, Partial) {
+    /// Runs the item until it ends at this engine. Returns the outcome and the part
+    /// of the answer that was read.
+    pub async fn run(self) -> (RunEnd, PartialAnswer) {
         let input = &self.item.input;
         let kind = RequestKind::from_path(&input.url);
         let parsed = kind.map(|kind| parse_request(kind, input.body.as_bytes()));
@@ -93,7 +97,7 @@
             client: self.engine.client.clone(),
             run: self,
             kind,
-            applied: RunCommand::Run,
+            confirmed: RunCommand::Run,
         };
         let ended = session.run_parsed(&parsed).await;
         let end = ended.map_or_else(|end| end, |finish| session.completed(&finish));
@@ -102,7 +106,7 @@
 }
 
 impl Session {
-    async fn run_parsed(&mut self, parsed: &ParsedRequest) -> Ended<Finish> {
+    async fn run_parsed(&mut self, parsed: &ParsedRequest) -> RunResult<Finish> {
         let body = parsed.body(&self.run.served.model, true);
         let response = self.send(body).await?;
         self.read(response).await
@@ -119,8 +123,8 @@
         RunEnd::Completed(encoder.whole(&text, finish))
     }
 
-    /// Sends the item and waits for the head of the answer.
-    async fn send(&mut self, body: Bytes) -> Ended<Response> {
+    /// Sends the item and waits for the head of the response.
+    async fn send(&mut self, body: Bytes) -> RunResult<Response> {
         if self.run.lease_end_ms <= clock::now_ms() {
             return Err(RunEnd::StoppedBeforeStart);
         }
@@ -141,9 +145,9 @@
             tokio::select! {
                 biased;
                 sent = &mut sending => break sent,
-                changed = self.run.told.changed() => {
-                    let told = changed.is_ok() && self.follow().await;
-                    if told {
+                changed = self.run.commands.changed() => {
+                    let keeps_running = changed.is_ok() && self.apply_command().await;
+                    if keeps_running {
                         continue;
                     }
                     return Err(self.stop_before_head(sending).await);
@@ -152,7 +156,7 @@
         };
         match sent {
             Ok(SendOutcome::Answer(response)) => Ok(response),
-            Ok(SendOutcome::Refused(refusal)) => self.refused(refusal).await,
+            Ok(SendOutcome::Refused(refusal)) => self.handle_refusal(refusal).await,
             Err(SendError::NotSent(message)) => {
                 self.run.fleet.connection_failed(&self.run.engine.worker);
                 Err(RunEnd::NotRun(message))
@@ -161,9 +165,9 @@
         }
     }
 
-    /// Whether an engine that has answered nothing yet ever began is known
-    /// from its answer to the cancel, or else from the head that still comes:
-    /// an engine remembers a cancel that overtook its request.
+    /// Stops a request whose response head has not arrived. Whether the engine began
+    /// it is known from the response to the cancel, or else from the head that still
+    /// arrives: an engine remembers a cancel that overtook its request.
     async fn stop_before_head(
         &self,
         sending: impl std::future::Future<Output = Result<SendOutcome, SendError>>,
@@ -182,7 +186,9 @@
         }
     }
 
-    async fn refused(&mut self, refusal: Refusal) -> Ended<Response> {
+    /// Turns a rejection into the outcome of the run. A duplicate means that the
+    /// engine already has the request, so the run reattaches to it.
+    async fn handle_refusal(&mut self, refusal: Refusal) -> RunResult<Response> {
         if refusal.is_duplicate() {
             return self.resume(refusal.message).await;
         }
@@ -201,12 +207,12 @@
         if refusal.not_started {
             return Err(RunEnd::NotRun(message));
         }
-        Err(self.lost(message).await)
+        Err(self.give_up(message).await)
     }
 
-    /// The engine's work is out of reach; the answer to a cancel may still say
-    /// that it never began.
-    async fn lost(&self, cause: String) -> RunEnd {
+    /// Gives up an answer that can't be retrieved. For an at-most-once item the
+    /// response to a cancel may still show that the engine never began it.
+    async fn give_up(&self, cause: String) -> RunEnd {
         if !self.run.item.input.at_most_once {
             let client = self.client.clone();
             let id = self.run.request_id.clone();
@@ -232,20 +238,21 @@
         self.client.cancel(id, CANCEL_TIMEOUT).await
     }
 
-    /// Carries the newest command out. False: it is to stop.
-    async fn follow(&mut self) -> bool {
-        let told = *self.run.told.borrow_and_update();
+    /// Applies the newest command at the engine. Returns false if the run has to
+    /// stop. A command that the engine did not confirm is retried by the caller.
+    async fn apply_command(&mut self) -> bool {
+        let newest = *self.run.commands.borrow_and_update();
         let id = &self.run.request_id;
-        let answer = match told.command {
+        let answer = match newest.command {
             RunCommand::Stop => return false,
-            command if command == self.applied => return true,
+            command if command == self.confirmed => return true,
             RunCommand::Pause => self.client.pause(id).await,
             RunCommand::Run => self.client.unpause(id).await,
         };
         if answer == PauseAnswer::Done {
-            self.applied = told.command;
-            if told.command == RunCommand::Pause {
-                let waited = told.since.elapsed().as_secs_f64();
+            self.confirmed = newest.command;
+            if newest.command == RunCommand::Pause {
+                let waited = newest.since.elapsed().as_secs_f64();
                 self.run.metrics.batch_yield_seconds.observe(waited);
             }
         }
@@ -253,7 +260,7 @@
     }
 }
 
-/// The error of an item, as its caller reads it.
+/// Returns the JSON error body of a failed item, as its caller receives it.
 fn error_json(step: &'static str, peer: &str, message: &str) -> String {
     let failure = RequestFailure::unknown(FailureCode::BackendFailed, step, message);
     let body = failure.with_peer(peer).body();
--- a/crates/pinerill-node/src/batch/shell.rs
+++ b/crates/pinerill-node/src/batch/shell.rs
@@ -1,4 +1,4 @@
-//! Feeds the planner and carries out what it says.
+//! The I/O shell around the planner: feeds it inputs and carries out its outputs.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use super::message::{Backlog, Event, Input, NodeIdentity, Output, RunCommand, RunEnd};
 use super::observer::EngineObserver;
 use super::planner::Planner;
-use super::run::{EngineRun, Partial, Told};
+use super::run::{EngineRun, PartialAnswer, TimedCommand};
 use crate::clock;
 use crate::configuration::Configuration;
 use crate::dispatcher::Dispatcher;
@@ -24,12 +24,12 @@
 use crate::metrics::Metrics;
 use crate::node::Node;
 
-/// Pause between two looks while there is batch work.
-const BUSY_PAUSE: Duration = Duration::from_millis(20);
-/// Pause between two looks while there is none.
-const IDLE_PAUSE: Duration = Duration::from_millis(200);
+/// Time between two refreshes while there is batch work.
+const BUSY_INTERVAL: Duration = Duration::from_millis(20);
+/// Time between two refreshes while there is no batch work.
+const IDLE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The batch side of one node.
+/// The batch loop of one node. It owns the planner and the tasks of all runs.
 pub struct BatchShell {
     planner: Planner,
     observer: EngineObserver,
@@ -41,29 +41,29 @@
     control: Arc<BatchControl>,
     /// Services with items that wait for a lease.
     backlogged: BTreeSet<ServiceName>,
-    runs: HashMap<AttemptRef, watch::Sender<Told>>,
-    partials: HashMap<AttemptRef, Partial>,
+    runs: HashMap<AttemptRef, watch::Sender<TimedCommand>>,
+    partials: HashMap<AttemptRef, PartialAnswer>,
     inputs: mpsc::UnboundedSender<ShellInput>,
     received: mpsc::UnboundedReceiver<ShellInput>,
 }
 
-/// What the shell's tasks hand back.
+/// A message from a background task to the shell.
 pub(super) enum ShellInput {
-    /// For the planner as it is.
+    /// An input to pass on to the planner unchanged.
     Planner(Input),
-    /// A run ended, with what it read.
-    Ended(AttemptRef, RunEnd, Box<Partial>),
+    /// A run ended; holds its outcome and the part of the answer that it read.
+    Ended(AttemptRef, RunEnd, Box<PartialAnswer>),
 }
 
 impl BatchShell {
-    /// For this node, before it runs.
+    /// Creates the batch loop of a node. Nothing happens until [`Self::run`].
     pub fn new(node: &Node, dispatcher: Arc<Dispatcher>) -> Self {
         let identity = NodeIdentity {
             name: node.settings.name.clone(),
             incarnation: node.incarnation,
         };
-        // Unbounded, because what comes is: one answer for each open call and
-        // one end for each run, both of which the planner bounds.
+        // An unbounded channel is safe here: it carries one response per open call
+        // and one end per run, and the planner bounds the number of both.
         let (inputs, received) = mpsc::unbounded_channel();
         Self {
             planner: Planner::new(identity),
@@ -82,46 +82,48 @@
         }
     }
 
-    /// Runs until a planned stop has come to its end.
+    /// Runs until a planned stop has begun and all batch work of the node has been
+    /// finished or returned.
     pub async fn run(mut self) {
         let control = self.control.clone();
         let mut draining = false;
         while !(draining && self.planner.is_idle()) {
             let pause = if self.planner.is_idle() {
-                IDLE_PAUSE
+                IDLE_INTERVAL
             } else {
-                BUSY_PAUSE
+                BUSY_INTERVAL
             };
             tokio::select! {
                 biased;
                 () = self.fleet.online_arrived.notified() => {}
-                Some(input) = self.received.recv() => self.take(input),
-                () = control.planned_stop(), if !draining => {
+                Some(input) = self.received.recv() => self.handle_message(input),
+                () = control.stop_begun(), if !draining => {
                     draining = true;
                     let grace_ms = control.grace_ms();
                     self.step(Input::Drain { grace_ms });
                 }
                 () = self.groups.changed.notified() => {
                     let backlog = self.groups.backlog();
-                    self.backlogged = backlogged(&backlog);
+                    self.backlogged = services_with_backlog(&backlog);
                     self.step(Input::Backlog(backlog));
                 }
                 () = tokio::time::sleep(pause) => {}
             }
-            self.look();
+            self.refresh();
         }
         self.control.finish();
     }
 
-    /// Takes in what has changed since the last look.
-    fn look(&mut self) {
+    /// Passes the current policies, engine states and received messages to the
+    /// planner, and updates the metrics.
+    fn refresh(&mut self) {
         if let Some(policies) = self.observer.policies(&self.configuration) {
             self.step(Input::Policies(policies));
         }
         let views = self.observer.views(&self.backlogged);
         self.step(Input::Engines(views));
         while let Ok(input) = self.received.try_recv() {
-            self.take(input);
+            self.handle_message(input);
         }
         let totals = self.planner.totals();
         self.metrics.batch_running.set(totals.running as i64);
@@ -131,7 +133,7 @@
             .set_running_at_most_once(self.planner.running_at_most_once());
     }
 
-    fn take(&mut self, input: ShellInput) {
+    fn handle_message(&mut self, input: ShellInput) {
         match input {
             ShellInput::Planner(input) => self.step(input),
             ShellInput::Ended(attempt, end, partial) => {
@@ -163,7 +165,7 @@
                 engine,
                 lease_end_ms,
             } => self.start(attempt, item, &engine, lease_end_ms),
-            Output::Command { attempt, command } => self.tell(attempt, command),
+            Output::Command { attempt, command } => self.send_command(attempt, command),
             Output::Forget(attempt) => {
                 self.partials.remove(&attempt);
             }
@@ -175,10 +177,10 @@
         self.calls.start(call, request);
     }
 
-    fn tell(&self, attempt: AttemptRef, command: RunCommand) {
+    fn send_command(&self, attempt: AttemptRef, command: RunCommand) {
         let since = Instant::now();
-        if let Some(told) = self.runs.get(&attempt) {
-            told.send_replace(Told { command, since });
+        if let Some(commands) = self.runs.get(&attempt) {
+            commands.send_replace(TimedCommand { command, since });
         }
     }
 
@@ -190,29 +192,30 @@
         lease_end_ms: u64,
     ) {
         let request_id = request_id(attempt);
-        let kept = self.partials.remove(&attempt);
+        let earlier = self.partials.remove(&attempt);
         let catalog = self.configuration.catalog();
         let plan = catalog.and_then(|catalog| catalog.service(&item.service).cloned());
         let found = self.fleet.engine(engine);
         let served = plan.as_ref().zip(found.as_ref());
         let served = served.and_then(|(plan, engine)| engine.serves(plan));
         let (Some(plan), Some(engine), Some(served)) = (plan, found, served) else {
-            let partial = fresh(&request_id, None);
+            let partial = empty_answer(&request_id, None);
             let end = RunEnd::NotRun("the service, the engine or its model has gone".to_owned());
             let _ = self
                 .inputs
                 .send(ShellInput::Ended(attempt, end, Box::new(partial)));
             return;
         };
-        // Another version of the model would go on with another answer.
-        let kept = kept.filter(|partial| partial.served.as_ref() == Some(&served));
-        let partial = kept.unwrap_or_else(|| fresh(&request_id, Some(served.clone())));
+        // A partial answer can only be continued by the model version that
+        // generated it.
+        let earlier = earlier.filter(|partial| partial.served.as_ref() == Some(&served));
+        let partial = earlier.unwrap_or_else(|| empty_answer(&request_id, Some(served.clone())));
         let now = Instant::now();
-        let (teller, told) = watch::channel(Told {
+        let (sender, commands) = watch::channel(TimedCommand {
             command: RunCommand::Run,
             since: now,
         });
-        self.runs.insert(attempt, teller);
+        self.runs.insert(attempt, sender);
         let run = EngineRun {
             engine,
             fleet: self.fleet.clone(),
@@ -222,7 +225,7 @@
             item,
             request_id,
             lease_end_ms,
-            told,
+            commands,
             partial,
         };
         let inputs = self.inputs.clone();
@@ -239,26 +242,27 @@
             Event::Yielded => metrics.batch_yields.inc(),
             Event::Moved => metrics.batch_moves.inc(),
             Event::LeaseLost => metrics.leases_lost.inc(),
-            Event::Verdict(word) => metrics.batch_items.with_label_values(&[word]).inc(),
+            Event::Verdict(label) => metrics.batch_items.with_label_values(&[label]).inc(),
         }
     }
 }
 
-fn fresh(request_id: &str, served: Option<Served>) -> Partial {
-    Partial {
+fn empty_answer(request_id: &str, served: Option<Served>) -> PartialAnswer {
+    PartialAnswer {
         served,
         reader: AnswerReader::new(request_id),
     }
 }
 
-fn backlogged(backlog: &Backlog) -> BTreeSet<ServiceName> {
+/// Returns the services with at least one item that waits for a lease.
+fn services_with_backlog(backlog: &Backlog) -> BTreeSet<ServiceName> {
     let waiting = backlog
         .iter()
         .filter(|(_, groups)| groups.values().any(|pending| *pending > 0));
     waiting.map(|(service, _)| service.clone()).collect()
 }
 
-/// The identifier of an attempt at engines: no other attempt has it.
+/// Returns the identifier of an attempt at engines. It is unique per attempt.
 pub fn request_id(attempt: AttemptRef) -> String {
     format!("{}.{}.{}", attempt.job, attempt.index, attempt.attempt)
 }
--- a/crates/pinerill-node/src/batch/window.rs
+++ b/crates/pinerill-node/src/batch/window.rs
@@ -1,60 +1,66 @@
-//! How many batch items may run at one engine. Pure.
+//! Limits how many batch items run at one engine.
 //!
-//! Batch uses the slots that online requests leave free. An engine admits
-//! online requests before batch and preempts batch for them between two steps,
-//! so a slot that batch holds delays nobody; what batch costs the online tail
-//! are longer steps. The service's `tail_weight` says how many free slots it
-//! gives up for shorter ones: these are also the places that the next arrivals
-//! take without anything having to be paused.
+//! Batch items use the slots that online requests leave free. An engine admits
+//! online requests before batch items and preempts batch items for them between
+//! two steps, so a slot held by a batch item delays no online request. The cost
+//! of batch items for the online tail latency is longer steps. The `tail_weight`
+//! of a service says how many free slots batch leaves unused for shorter steps;
+//! the next online requests take these slots without a pause of any item.
 //!
-//! There are two bounds. Items are started and resumed up to [`Window::open`];
-//! they are paused above [`Window::allowed`]. Between them lie the places of
-//! the next arrivals, so that a request that comes and goes moves no item.
-
-/// Slots of an engine for each item that waits there beyond them, so that a
-/// slot that comes free is filled before the next item can arrive from here.
-const SLOTS_PER_SPARE_ITEM: u32 = 8;
-/// How steeply the share of slots that batch leaves to the next arrivals rises
-/// with the weight: 7 % at 0.8, all at 1.0, and nothing below 0.7.
+//! There are two limits. Items are started and resumed up to [`Window::start_limit`] and
+//! paused above [`Window::run_limit`]. The slots between the two are reserved for
+//! the next arrivals, so that a single short request pauses no item.
+//!
+//! This module does no I/O and reads no clock; the planner passes in the time.
+
+/// Number of slots of an engine per item that may wait in the engine's queue, so
+/// that a slot that becomes free is filled before the node can send another item.
+const SLOTS_PER_QUEUED_ITEM: u32 = 8;
+/// Exponent of the tail weight in the share of slots that batch leaves to the next
+/// arrivals: 7 % at weight 0.8, all slots at 1.0, and nothing below 0.7.
 const HEADROOM_EXPONENT: i32 = 12;
-/// Most of that share at an engine without online work.
-const IDLE_HEADROOM_SHARE: f64 = 0.25;
-/// Time after a request waited before the window grows, and after a preemption
-/// before items wait at the engine again, at weights 0.0 and 1.0, milliseconds.
-const HOLD_MS: (f64, f64) = (100.0, 1_000.0);
-/// Time after an arrival before an item is started at its engine, at weights
-/// 0.0 and 1.0, milliseconds: its prefill would lengthen the steps that the
-/// arrival waits for. What was paused goes on without a prefill.
-const START_HOLD_MS: (f64, f64) = (0.0, 400.0);
-/// Time between two starts at one engine, at weights 0.0 and 1.0,
-/// milliseconds: items that ended together would else begin together, and
+/// Upper bound of the share of slots left to arrivals at an engine that runs no
+/// online request.
+const MAX_IDLE_HEADROOM_SHARE: f64 = 0.25;
+/// Time without growth after an online request had to wait, and without items in
+/// the engine's queue after a preemption, at weights 0.0 and 1.0, milliseconds.
+const ONLINE_DEMAND_DELAY_MS: (f64, f64) = (100.0, 1_000.0);
+/// Time after an online arrival before an item is started at the engine, at
+/// weights 0.0 and 1.0, milliseconds. The prefill of the item would lengthen the
+/// steps that the arrival waits for. Paused items resume without a prefill, so
+/// this does not apply to them.
+const START_AFTER_ARRIVAL_MS: (f64, f64) = (0.0, 400.0);
+/// Time between two starts at one engine, at weights 0.0 and 1.0, milliseconds.
+/// Otherwise the successors of items that end together would start together, and
 /// their prefills would fill several steps in a row.
-const START_PAUSE_MS: (f64, f64) = (0.0, 50.0);
-/// Time between two doublings, at weights 0.0 and 1.0, milliseconds.
-const GROWTH_PAUSE_MS: (f64, f64) = (50.0, 200.0);
+const START_INTERVAL_MS: (f64, f64) = (0.0, 50.0);
+/// Time between two doublings of the window, at weights 0.0 and 1.0, milliseconds.
+const GROWTH_INTERVAL_MS: (f64, f64) = (50.0, 200.0);
 
-/// What a bundle says about the sharing of engines.
+/// The settings of a service for sharing engines between online and batch work.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WindowPolicy {
-    /// 1.0: only the online tail counts; 0.0: only batch throughput.
+    /// Weight of the online tail latency against batch throughput: at 1.0 only the
+    /// tail latency counts, at 0.0 only the throughput.
     pub tail_weight: f64,
-    /// Most items at one engine.
+    /// Most batch items at one engine.
     pub limit: u32,
 }
 
 impl WindowPolicy {
-    /// A value between those of the weights 0.0 and 1.0.
-    pub fn between(&self, (throughput, tail): (f64, f64)) -> u64 {
+    /// Interpolates linearly between the values for the weights 0.0 and 1.0.
+    pub fn interpolate(&self, (throughput, tail): (f64, f64)) -> u64 {
         (throughput + (tail - throughput) * self.tail_weight) as u64
     }
 }
 
-/// What is known of an engine's load.
+/// The known load of an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Requests that run at once.
+    /// Number of requests that the engine can run at once.
     pub slots: u32,
-    /// Online requests there, own ones exact, others estimated.
+    /// Online requests at the engine: an exact count of this node's own and an
+    /// estimate of those of other nodes.
     pub online: u32,
 }
 
@@ -63,129 +69,143 @@
         self.slots.saturating_sub(self.online)
     }
 
-    fn spare(&self) -> u32 {
-        self.slots.div_ceil(SLOTS_PER_SPARE_ITEM)
+    fn queue_allowance(&self) -> u32 {
+        self.slots.div_ceil(SLOTS_PER_QUEUED_ITEM)
     }
 
-    /// Slots left to the next arrivals.
+    /// Returns the number of slots to leave to the next online arrivals.
     fn headroom(&self, policy: WindowPolicy) -> u32 {
         let share = policy.tail_weight.powi(HEADROOM_EXPONENT);
         let share = match self.online {
-            0 => share.min(IDLE_HEADROOM_SHARE),
+            0 => share.min(MAX_IDLE_HEADROOM_SHARE),
             _ => share,
         };
         (share * f64::from(self.slots)).round() as u32
     }
 }
 
-/// A sign of online work at an engine.
+/// An event that shows online demand at an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OnlineSign {
-    /// A request arrived there.
+pub enum OnlineSignal {
+    /// An online request arrived at the engine.
     Arrival,
-    /// The engine preempted batch for it.
+    /// The engine preempted a batch item for an online request.
     Preemption,
-    /// A request waits for a place at an engine.
+    /// An online request waits for a slot.
     Waiting,
 }
 
-/// The window of one engine.
+/// The limits on batch items at one engine. They shrink at once when online demand
+/// appears and grow by doubling when the slots are free.
 #[derive(Debug, Clone, Default)]
 pub struct Window {
-    allowed: u32,
-    open: u32,
-    held_until_ms: u64,
-    starts_at_ms: u64,
-    spare_from_ms: u64,
-    grows_at_ms: u64,
+    run_limit: u32,
+    start_limit: u32,
+    no_growth_until_ms: u64,
+    next_start_ms: u64,
+    queue_allowed_from_ms: u64,
+    next_growth_ms: u64,
 }
 
 impl Window {
-    /// Items that may go on running now; those beyond are paused.
-    pub fn allowed(&self) -> u32 {
-        self.allowed
+    /// Returns the number of items that may keep running; the caller pauses those
+    /// beyond it.
+    pub fn run_limit(&self) -> u32 {
+        self.run_limit
     }
 
-    /// Items up to which more are started or resumed now; never above
-    /// `allowed`.
-    pub fn open(&self) -> u32 {
-        self.open
+    /// Returns the number of items up to which the caller starts or resumes more;
+    /// never above [`Self::run_limit`].
+    pub fn start_limit(&self) -> u32 {
+        self.start_limit
     }
 
-    /// Whether an item may begin its prefill now.
-    pub fn takes_starts(&self, now_ms: u64) -> bool {
-        self.starts_at_ms <= now_ms
+    /// Returns whether an item may begin its prefill now.
+    pub fn allows_start(&self, now_ms: u64) -> bool {
+        self.next_start_ms <= now_ms
     }
 
-    /// An item was started.
-    pub fn note_start(&mut self, now_ms: u64, policy: WindowPolicy) {
-        let next = now_ms + policy.between(START_PAUSE_MS);
-        self.starts_at_ms = self.starts_at_ms.max(next);
+    /// Records the start of an item, which delays the next start.
+    pub fn record_start(&mut self, now_ms: u64, policy: WindowPolicy) {
+        let next = now_ms + policy.interpolate(START_INTERVAL_MS);
+        self.next_start_ms = self.next_start_ms.max(next);
     }
 
-    /// A sign of online work: falls at once.
-    pub fn sign(&mut self, now_ms: u64, sign: OnlineSign, load: EngineLoad, policy: WindowPolicy) {
-        match sign {
-            OnlineSign::Arrival => {
-                let next = now_ms + policy.between(START_HOLD_MS);
-                self.starts_at_ms = self.starts_at_ms.max(next);
+    /// Shrinks the window at once in response to online demand.
+    pub fn apply_signal(
+        &mut self,
+        now_ms: u64,
+        signal: OnlineSignal,
+        load: EngineLoad,
+        policy: WindowPolicy,
+    ) {
+        match signal {
+            OnlineSignal::Arrival => {
+                let next = now_ms + policy.interpolate(START_AFTER_ARRIVAL_MS);
+                self.next_start_ms = self.next_start_ms.max(next);
+            }
+            // No online request had to wait for a preemption, so only the items in
+            // the engine's queue are withdrawn.
+            OnlineSignal::Preemption => {
+                self.queue_allowed_from_ms = now_ms + policy.interpolate(ONLINE_DEMAND_DELAY_MS)
+            }
+            OnlineSignal::Waiting => {
+                self.no_growth_until_ms = now_ms + policy.interpolate(ONLINE_DEMAND_DELAY_MS)
             }
-            // Nobody waited for it; only what waits at the engine goes.
-            OnlineSign::Preemption => self.spare_from_ms = now_ms + policy.between(HOLD_MS),
-            OnlineSign::Waiting => self.held_until_ms = now_ms + policy.between(HOLD_MS),
         }
-        let kept = match sign {
-            OnlineSign::Waiting => 0,
-            _ => self.most(now_ms, load, policy),
+        let kept = match signal {
+            OnlineSignal::Waiting => 0,
+            _ => self.max_items(now_ms, load, policy),
         };
         self.shrink(now_ms, kept, load, policy);
     }
 
-    /// Time has passed, or the load is known anew.
+    /// Applies the current load and lets the window grow if it is due.
     pub fn tick(&mut self, now_ms: u64, load: EngineLoad, policy: WindowPolicy) {
-        let most = self.most(now_ms, load, policy);
-        self.shrink(now_ms, most, load, policy);
+        let max_items = self.max_items(now_ms, load, policy);
+        self.shrink(now_ms, max_items, load, policy);
         let target = self.target(now_ms, load, policy);
-        let is_held = now_ms < self.held_until_ms || now_ms < self.grows_at_ms;
-        if self.open >= target || is_held {
+        let is_delayed = now_ms < self.no_growth_until_ms || now_ms < self.next_growth_ms;
+        if self.start_limit >= target || is_delayed {
             return;
         }
-        self.open = (self.open * 2).clamp(1, target);
-        // A window that has grown to its target keeps the arrivals' places.
-        self.allowed = match self.open == target {
-            true => most,
-            false => self.allowed.max(self.open),
+        self.start_limit = (self.start_limit * 2).clamp(1, target);
+        // Once the window has grown to its target, `run_limit` also covers the slots
+        // reserved for arrivals, so that an arrival pauses nothing.
+        self.run_limit = match self.start_limit == target {
+            true => max_items,
+            false => self.run_limit.max(self.start_limit),
         };
-        self.grows_at_ms = now_ms + policy.between(GROWTH_PAUSE_MS);
+        self.next_growth_ms = now_ms + policy.interpolate(GROWTH_INTERVAL_MS);
     }
 
-    fn shrink(&mut self, now_ms: u64, most: u32, load: EngineLoad, policy: WindowPolicy) {
-        self.allowed = self.allowed.min(most);
+    fn shrink(&mut self, now_ms: u64, max_items: u32, load: EngineLoad, policy: WindowPolicy) {
+        self.run_limit = self.run_limit.min(max_items);
         let target = self.target(now_ms, load, policy);
-        self.open = self.open.min(self.allowed).min(target);
+        self.start_limit = self.start_limit.min(self.run_limit).min(target);
     }
 
-    /// Items that may stay beside what is online: its free slots, and some
-    /// that wait at the engine unless it had to preempt.
-    fn most(&self, now_ms: u64, load: EngineLoad, policy: WindowPolicy) -> u32 {
-        let nothing_beside_online = load.headroom(policy) == load.slots;
-        let spare = match self.spare_from_ms <= now_ms {
-            true => load.spare(),
+    /// Returns the most items that fit beside the online requests: the free slots,
+    /// plus some in the engine's queue unless the engine has just preempted.
+    fn max_items(&self, now_ms: u64, load: EngineLoad, policy: WindowPolicy) -> u32 {
+        let is_exclusive = load.headroom(policy) == load.slots;
+        let queue_allowance = match self.queue_allowed_from_ms <= now_ms {
+            true => load.queue_allowance(),
             false => 0,
         };
         match load.free() {
             0 => 0,
-            _ if nothing_beside_online => 0,
-            free => policy.limit.min(free + spare),
+            _ if is_exclusive => 0,
+            free => policy.limit.min(free + queue_allowance),
         }
     }
 
-    /// How far the window opens.
+    /// Returns the number of items up to which the window grows.
     fn target(&self, now_ms: u64, load: EngineLoad, policy: WindowPolicy) -> u32 {
-        let most = self.most(now_ms, load, policy);
+        let max_items = self.max_items(now_ms, load, policy);
         match load.headroom(policy) {
-            0 => most,
-            headroom => most.min(load.free().saturating_sub(headroom)),
+            0 => max_items,
+            headroom => max_items.min(load.free().saturating_sub(headroom)),
         }
     }
 }
--- a/crates/pinerill-node/tests/batch_api.rs
+++ b/crates/pinerill-node/tests/batch_api.rs
@@ -1,4 +1,4 @@
-//! Batch jobs over the callers' API, against a plain model of the job groups.
+//! Tests the HTTP API for batch jobs against a simple model of the job groups.
 
 mod support;
 
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn a_resent_job_is_its_first_self_and_another_body_is_a_conflict() {
+async fn resubmitted_job_is_the_same_job_and_another_body_is_a_conflict() {
     let node = node().await;
     let first = node.submit("night-1", lines(3, 8)).await;
     assert_eq!((first.0, &first.1["counts"]["total"]), (200, &3.into()));
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn each_wrong_line_is_named_and_nothing_is_sent() {
+async fn each_invalid_line_is_reported_by_number_and_nothing_is_submitted() {
     let node = node().await;
     let good = line("a", "p");
     let wrong = |from: &str, to: &str| line("b", "p").replacen(from, to, 1);
@@ -109,7 +109,7 @@
 }
 
 #[tokio::test]
-async fn a_large_body_goes_in_bounded_parts_and_a_larger_one_is_refused() {
+async fn large_body_is_split_into_bounded_parts_and_oversized_one_is_rejected() {
     let change = |settings: &mut pinerill_types::settings::NodeSettings| {
         settings.batch_limit_kib = 4 * 1_024;
     };
@@ -135,7 +135,7 @@
 }
 
 #[tokio::test]
-async fn after_a_lost_answer_the_same_key_ends_in_one_job() {
+async fn retry_with_the_same_key_after_a_lost_response_creates_one_job() {
     let node = node().await;
     node.control.fault(is_part, Fault::AnswerLost);
     let lost = node.submit("k", lines(3, 8)).await;
@@ -151,7 +151,7 @@
 }
 
 #[tokio::test]
-async fn results_are_streamed_over_all_pages_and_a_cancel_shows() {
+async fn output_streams_all_pages_and_shows_cancelled_items() {
     let node = node().await;
     let job = node.submit("k", lines(8, 8)).await.1;
     let path = format!("/v1/batches/{}", job["id"].as_str().expect("an id"));
@@ -194,7 +194,7 @@
 }
 
 #[tokio::test]
-async fn a_node_that_cannot_confirm_its_bundle_takes_no_job() {
+async fn node_without_a_confirmed_bundle_rejects_jobs() {
     let mut bundle = bundle();
     bundle.policy.configuration_lease_ms = 200;
     let node = TestNode::start(Arc::new(FakeControl::new(bundle))).await;
--- a/crates/pinerill-node/tests/batch_planner.rs
+++ b/crates/pinerill-node/tests/batch_planner.rs
@@ -1,4 +1,4 @@
-//! The planner of batch items, step by step.
+//! Tests the decisions of the batch planner under a simulated clock.
 
 mod support;
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// A planner with its clock and all that it has said.
+/// A planner with its clock and all outputs so far.
 struct Fixture {
     planner: Planner,
     now_ms: u64,
@@ -70,7 +70,8 @@
 }
 
 impl Fixture {
-    /// Engines of four slots whose windows are open, and items that wait.
+    /// Creates a planner with engines of four slots, fully grown windows and a
+    /// backlog of 100 items in one group.
     fn new(engines: u16, tail_weight: f64) -> Self {
         let node = NodeIdentity {
             name: "node-1".into(),
@@ -99,7 +100,7 @@
         self.said.extend(self.planner.step(self.now_ms, input));
     }
 
-    /// Lets time pass in small steps.
+    /// Advances the clock in steps of 50 ms with a tick at each.
     fn pass(&mut self, milliseconds: u64) {
         for _ in 0..milliseconds.div_ceil(50) {
             self.now_ms += 50;
@@ -107,8 +108,8 @@
         }
     }
 
-    /// The open question is answered by these items, and those that fit have
-    /// had time to start one after the other.
+    /// Answers the unanswered lease request with these items and lets enough time
+    /// pass for those that fit to start one after the other.
     fn lease(&mut self, items: Vec<LeasedItem>) {
         let result = Ok(items);
         self.step(Input::Leased {
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn it_asks_for_what_fits_and_starts_it_on_the_engine_with_most_room() {
+fn requests_items_for_free_slots_and_starts_them_on_the_emptiest_engine() {
     let mut fixture = Fixture::new(2, 0.5);
     assert_eq!(fixture.questions(), [(1, 8)]);
     fixture.lease((0..8).map(|index| item(index, false)).collect());
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn a_question_without_an_answer_is_sent_again_under_its_number() {
+fn unanswered_lease_request_is_retried_with_its_sequence_number() {
     let mut fixture = Fixture::new(1, 0.5);
     fixture.step(Input::Leased {
         group: GROUP,
@@ -186,7 +187,7 @@
 }
 
 #[test]
-fn a_lease_that_ends_soon_starts_nothing_before_it_was_renewed() {
+fn item_under_a_lease_that_expires_soon_starts_only_after_renewal() {
     let mut fixture = Fixture::new(1, 0.5);
     fixture.now_ms += LEASE_MS - 1_000;
     fixture.lease(vec![item(0, true)]);
@@ -198,7 +199,7 @@
 }
 
 #[test]
-fn arrivals_pause_the_newest_and_they_go_on_when_it_is_idle() {
+fn arrivals_pause_the_newest_items_which_resume_when_the_engine_is_idle() {
     let mut fixture = Fixture::new(1, 0.5);
     fixture.lease((0..4).map(|index| item(index, false)).collect());
     fixture.step(Input::Engines(vec![view(0, 2, 1)]));
@@ -206,15 +207,18 @@
     fixture.step(Input::Engines(vec![view(0, 4, 2)]));
     assert_eq!(fixture.commands(RunCommand::Pause), [3, 2, 1, 0]);
     fixture.pass(2_000);
-    assert!(fixture.commands(RunCommand::Run).is_empty(), "it is full");
+    assert!(
+        fixture.commands(RunCommand::Run).is_empty(),
+        "an item resumed at a full engine"
+    );
     fixture.step(Input::Engines(vec![view(0, 0, 2)]));
     fixture.pass(2_000);
     assert_eq!(fixture.commands(RunCommand::Run), [3, 2, 1, 0]);
-    assert_eq!(fixture.starts().len(), 4, "none was started again");
+    assert_eq!(fixture.starts().len(), 4, "an item was started again");
 }
 
 #[test]
-fn what_stays_paused_goes_elsewhere_unless_it_must_not_be_repeated() {
+fn long_paused_items_move_to_another_engine_unless_at_most_once() {
     let mut fixture = Fixture::new(2, 1.0);
     fixture.lease((0..6).map(|index| item(index, index < 3)).collect());
     let moved: Vec<u32> = (0..6)
@@ -235,7 +239,7 @@
 }
 
 #[test]
-fn an_item_that_ends_while_paused_leaves_its_place() {
+fn item_that_ends_while_paused_frees_its_slot() {
     let mut fixture = Fixture::new(1, 1.0);
     fixture.lease((0..3).map(|index| item(index, false)).collect());
     fixture.step(Input::Engines(vec![view(0, 1, 1)]));
@@ -251,7 +255,7 @@
 }
 
 #[test]
-fn an_item_not_to_be_repeated_is_never_started_again_once_it_may_have_run() {
+fn at_most_once_item_is_not_started_again_once_it_may_have_run() {
     let mut fixture = Fixture::new(2, 0.5);
     fixture.lease(vec![item(0, true), item(1, true), item(2, false)]);
     fixture.ended(0, RunEnd::Lost("cut".to_owned()));
@@ -267,7 +271,7 @@
 }
 
 #[test]
-fn an_item_that_breaks_every_engine_uses_up_an_attempt() {
+fn item_lost_at_every_engine_uses_up_an_attempt() {
     let mut fixture = Fixture::new(2, 0.5);
     fixture.lease(vec![item(0, false), item(1, false)]);
     for _ in 0..2 {
@@ -281,7 +285,7 @@
 }
 
 #[test]
-fn a_cancelled_item_is_stopped_and_nothing_is_said_of_it() {
+fn cancelled_item_is_stopped_and_not_reported() {
     let mut fixture = Fixture::new(1, 0.5);
     fixture.lease(vec![item(0, false), item(1, false)]);
     fixture.pass(10_000);
@@ -296,7 +300,7 @@
 }
 
 #[test]
-fn a_node_frozen_past_its_leases_stops_all_and_starts_nothing() {
+fn node_frozen_past_its_leases_stops_all_items_and_starts_none() {
     let mut fixture = Fixture::new(1, 0.5);
     fixture.lease((0..6).map(|index| item(index, true)).collect());
     assert_eq!(fixture.starts().len(), 4);
@@ -314,7 +318,7 @@
 }
 
 #[test]
-fn a_report_is_sent_until_it_is_answered() {
+fn report_is_retried_until_answered() {
     let mut fixture = Fixture::new(1, 0.5);
     fixture.lease(vec![item(0, false)]);
     fixture.ended(0, RunEnd::Completed("{}".to_owned()));
@@ -328,7 +332,7 @@
 }
 
 #[test]
-fn a_stopping_node_finishes_what_must_and_gives_the_rest_back() {
+fn draining_node_finishes_at_most_once_items_and_returns_the_rest() {
     let mut fixture = Fixture::new(1, 1.0);
     fixture.lease((0..6).map(|index| item(index, index == 2)).collect());
     fixture.step(Input::Engines(vec![view(0, 1, 1)]));
@@ -345,7 +349,10 @@
     let ends = fixture.ends();
     let released = ends.iter().filter(|end| **end == AttemptEnd::Released);
     assert_eq!((released.count(), ends.len()), (5, 6));
-    assert!(!fixture.planner.is_idle(), "reports wait for an answer");
+    assert!(
+        !fixture.planner.is_idle(),
+        "unanswered reports do not count"
+    );
     let result = Ok(vec![AttemptVerdict::Counted; 6]);
     for _ in 0..3 {
         let result = result.clone();
@@ -359,6 +366,6 @@
     assert_eq!(
         fixture.questions().len(),
         questions,
-        "nothing more is leased"
+        "a draining node requested items"
     );
 }
--- a/crates/pinerill-node/tests/batch_runner.rs
+++ b/crates/pinerill-node/tests/batch_runner.rs
@@ -1,4 +1,5 @@
-//! Batch items at stand-in workers, leased from a plain model of the groups.
+//! Tests batch items end to end on one node, with simulated workers and a simple
+//! model of the job groups.
 
 mod support;
 
@@ -13,7 +14,7 @@
 use support::worker::{text, FakeWorker, Stage};
 use support::{bundle, line, once, until, FakeControl, TestNode, KEY};
 
-/// A node with one worker of one engine.
+/// Starts a node with one simulated worker that has one engine.
 async fn start(bundle: Bundle) -> (TestNode, FakeWorker) {
     let worker = FakeWorker::start("worker-1", 1).await;
     let control = Arc::new(FakeControl::new(bundle));
@@ -38,14 +39,16 @@
     node.control.jobs.lock().count(state)
 }
 
-/// All ends that were reported, counted or not.
+/// Returns the ends of all attempts that were reported, including reports that
+/// the group did not count.
 fn reports(node: &TestNode) -> Vec<AttemptEnd> {
     let jobs = node.control.jobs.lock();
     let items = jobs.jobs.values().flat_map(|job| &job.items);
     items.flat_map(|item| item.reports.clone()).collect()
 }
 
-/// Sends an online request that stays in flight until the answer is awaited.
+/// Sends an online request in a background task, which returns the status and the
+/// body of its response.
 fn online(node: &TestNode) -> tokio::task::JoinHandle<(u16, Value)> {
     let body = json!({"model": "fanar", "prompt": "crew", "max_tokens": 4});
     let request = node.http.post(node.url("/v1/completions"));
@@ -72,25 +75,30 @@
 }
 
 #[tokio::test]
-async fn an_online_request_makes_batch_step_aside_and_it_goes_on_afterwards() {
+async fn online_request_pauses_batch_items_which_resume_afterwards() {
     let (node, worker) = start(weighted(1.0)).await;
     worker.change(|model| model.hold_after = Some(1));
-    // One of four slots is left to the next arrival.
+    // At tail weight 1.0 one of the four slots of an idle engine stays free for the
+    // next arrival.
     node.submit("k", lines(3)).await;
     until("three run", || worker.count(true, Stage::Running) == 3).await;
     let answer = online(&node);
-    until("all step aside", || worker.count(true, Stage::Paused) == 3).await;
+    until("all are paused", || worker.count(true, Stage::Paused) == 3).await;
     assert_eq!(worker.count(true, Stage::Cancelled), 0);
     worker.change(|model| model.hold_after = None);
     assert_eq!(answer.await.expect("ends").0, 200);
     until("all complete", || ended(&node, ItemState::Completed) == 3).await;
-    assert_eq!(worker.model.lock().arrivals.len(), 4, "none was sent twice");
+    assert_eq!(
+        worker.model.lock().arrivals.len(),
+        4,
+        "a request was sent twice"
+    );
     assert!(node.metric("batch_yields_total").await >= 3.0);
     assert!(node.metric("batch_yield_seconds_count").await >= 3.0);
 }
 
 #[tokio::test]
-async fn reported_online_work_and_preemptions_of_others_close_the_window() {
+async fn online_load_and_preemptions_reported_by_the_engine_shrink_the_window() {
     let (node, worker) = start(weighted(0.5)).await;
     worker.change(|model| model.hold_after = Some(1));
     node.submit("k", lines(4)).await;
@@ -110,13 +118,18 @@
 }
 
 #[tokio::test]
-async fn a_pause_that_overtakes_its_request_holds_once_the_engine_knows_it() {
+async fn pause_that_overtakes_its_request_is_retried_until_applied() {
     let (node, worker) = start(weighted(1.0)).await;
     worker.change(|model| (model.hold_after, model.hold_heads) = (Some(1), true));
     node.submit("k", lines(1)).await;
     until("it is sent", || worker.model.lock().arrivals.len() == 1).await;
-    // The engine forgets it, as if it had not arrived yet.
-    let (id, came) = worker.model.lock().came.pop_first().expect("it came");
+    // Removes the request from the engine, as if it had not arrived yet.
+    let (id, came) = worker
+        .model
+        .lock()
+        .came
+        .pop_first()
+        .expect("a request at the engine");
     let answer = online(&node);
     until("the window closes", || {
         worker.model.lock().arrivals.len() == 2
@@ -138,7 +151,7 @@
 }
 
 #[tokio::test]
-async fn a_cut_stream_is_resumed_and_not_sent_again() {
+async fn broken_stream_is_resumed_without_a_second_request() {
     let (node, worker) = start(bundle()).await;
     worker.change(|model| model.hold_after = Some(2));
     node.submit("k", lines(2) + &once("once", "p")).await;
@@ -149,7 +162,7 @@
 }
 
 #[tokio::test]
-async fn when_an_engine_dies_repeatable_items_go_on_elsewhere_and_others_are_indeterminate() {
+async fn engine_crash_moves_repeatable_items_and_leaves_at_most_once_items_indeterminate() {
     let control = Arc::new(FakeControl::new(bundle()));
     let (dying, other) = (
         FakeWorker::start("dying", 1).await,
@@ -162,7 +175,7 @@
     node.submit("k", line("item-1", "p1") + &once("once", "p2"))
         .await;
     until("both run", || dying.count(true, Stage::Running) == 2).await;
-    until("tokens came", || {
+    until("tokens were sent", || {
         dying.model.lock().came.values().all(|one| one.sent == 2)
     })
     .await;
@@ -175,13 +188,13 @@
     .await;
     until("one completes", || ended(&node, ItemState::Completed) == 1).await;
     let model = other.model.lock();
-    assert_eq!(model.came.len(), 1, "only the repeatable one went on");
+    assert_eq!(model.came.len(), 1, "the at-most-once item was sent again");
     let went_on = model.came.values().next().expect("one");
     assert_eq!((went_on.prompt.as_str(), went_on.continued_from), ("p1", 2));
 }
 
 #[tokio::test]
-async fn an_item_whose_engine_never_began_it_is_not_lost_when_it_must_not_be_repeated() {
+async fn rejected_at_most_once_item_is_retried() {
     let control = Arc::new(FakeControl::new(bundle()));
     let worker = FakeWorker::start("worker-1", 2).await;
     control.list_workers(vec![worker.record()]);
@@ -191,11 +204,15 @@
     until("it is refused", || worker.model.lock().arrivals.len() >= 2).await;
     worker.change(|model| model.refusal = None);
     until("it completes", || ended(&node, ItemState::Completed) == 1).await;
-    assert_eq!(worker.model.lock().came.len(), 1, "it ran once");
+    assert_eq!(
+        worker.model.lock().came.len(),
+        1,
+        "the item ran more than once"
+    );
 }
 
 #[tokio::test]
-async fn an_item_cut_off_before_its_start_is_cancelled_and_runs_once_elsewhere() {
+async fn at_most_once_item_cut_off_before_its_start_is_cancelled_and_runs_once_elsewhere() {
     let control = Arc::new(FakeControl::new(bundle()));
     let worker = FakeWorker::start("worker-1", 2).await;
     let proxy = Proxy::start(worker.address).await;
@@ -220,7 +237,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_no_engine_can_take_ends_as_failed() {
+async fn item_rejected_as_a_bad_request_ends_as_failed() {
     let (node, worker) = start(bundle()).await;
     worker.change(|model| model.refusal = Some((400, "bad_request")));
     node.submit("k", lines(1)).await;
@@ -237,7 +254,7 @@
 }
 
 #[tokio::test]
-async fn lost_answers_of_groups_lose_no_item_and_double_none() {
+async fn lost_group_responses_neither_lose_nor_repeat_items() {
     let (node, worker) = start(bundle()).await;
     let is_lease = |request: &Request| matches!(request, Request::LeaseItems(_));
     let is_end = |request: &Request| matches!(request, Request::EndAttempts(_));
@@ -254,11 +271,11 @@
 }
 
 #[tokio::test]
-async fn cancelled_items_are_ended_at_their_engine_and_no_more_are_sent() {
+async fn cancelling_a_job_ends_its_items_at_the_engine_and_sends_no_more() {
     let (node, worker) = start(bundle()).await;
     worker.change(|model| model.hold_after = Some(1));
     let job = node.submit("k", lines(30)).await.1;
-    // Four slots, and one item that waits at the engine.
+    // The engine has four slots and holds one more item in its queue.
     until("the engine is full", || {
         worker.count(true, Stage::Running) == 5
     })
--- a/crates/pinerill-node/tests/batch_simulation.rs
+++ b/crates/pinerill-node/tests/batch_simulation.rs
@@ -1,6 +1,9 @@
-//! Two planners, the groups' model and engines in seeded runs: answers are
-//! lost, engines break, online work comes and goes, a node freezes past its
-//! leases and one is started again. Time is virtual.
+//! Runs two planners against a model of the job groups and simulated engines.
+//!
+//! Faults are drawn from a seed: lost responses, failing engines, changing online
+//! load, nodes that freeze past their leases and nodes that restart. Time is
+//! virtual. Guards against items that never end, that end with the answer of
+//! another item, and at-most-once items that run twice.
 
 mod support;
 
@@ -19,9 +22,9 @@
 
 const SEEDS: u64 = 12;
 const STEP_MS: u64 = 20;
-/// Faults end after this time.
+/// No more faults are injected after this time, milliseconds.
 const TROUBLE_MS: u64 = 60_000;
-/// By then everything must have ended.
+/// Time by which every item must have ended, milliseconds.
 const END_MS: u64 = 240_000;
 const GROUPS: u32 = 2;
 const ITEMS: u32 = 300;
@@ -29,7 +32,7 @@
 const ENGINES: u16 = 2;
 const SLOTS: u32 = 4;
 
-/// An item at an engine.
+/// A run of an item at an engine.
 struct Run {
     attempt: AttemptRef,
     left_ms: u64,
@@ -42,7 +45,7 @@
     incarnation: u64,
     frozen_until_ms: u64,
     runs: Vec<Run>,
-    /// Answers on their way, with when they arrive.
+    /// Responses in flight, each with its arrival time in milliseconds.
     answers: Vec<(u64, Input)>,
     online: Vec<u32>,
     arrivals: u64,
@@ -53,7 +56,7 @@
     now_ms: u64,
     jobs: FakeJobs,
     nodes: Vec<Node>,
-    /// How often each item that must not be repeated may have run.
+    /// How often each at-most-once item may have run.
     may_have_run: HashMap<(JobId, u32), u32>,
 }
 
@@ -130,7 +133,7 @@
 
     fn run(&mut self) {
         while self.troubled() || !self.is_over() {
-            assert!(self.now_ms < END_MS, "something never ends");
+            assert!(self.now_ms < END_MS, "an item or a report never ends");
             self.now_ms += STEP_MS;
             self.jobs.now_ms = self.now_ms;
             self.jobs.expire();
@@ -143,7 +146,8 @@
         }
     }
 
-    /// Freezes a node, or starts it again: what it ran is then on its own.
+    /// Freezes or restarts a node at random and changes the online load of its
+    /// engines. A restarted node has lost track of its runs.
     fn trouble(&mut self, node: usize) {
         if self.random.gen_range(0..4_000) == 0 && self.troubled() {
             let pause = self.random.gen_range(1_000..2 * LEASE_MS);
@@ -267,7 +271,8 @@
         }
     }
 
-    /// Carried out or not, and answered or not.
+    /// Calls a group. While faults are injected, the request or the response may be
+    /// lost.
     fn call(&mut self, group: u32, request: Request) -> Result<Response, NotAnswered> {
         if self.chance(10) {
             return Err(NotAnswered);
@@ -289,7 +294,7 @@
         let item = self.jobs.item(attempt).expect("a leased item");
         let at_most_once = item.input.at_most_once;
         let leased = item.state == ItemState::Leased && item.attempt == attempt.attempt;
-        assert!(leased, "{attempt:?} is started without a lease");
+        assert!(leased, "{attempt:?} was started without a lease");
         let end = match self.random.gen_range(0..100) {
             0..=9 if self.troubled() => RunEnd::NotRun("refused".to_owned()),
             10..=19 if self.troubled() => RunEnd::Lost("cut".to_owned()),
@@ -302,7 +307,7 @@
                 .entry((attempt.job, attempt.index))
                 .or_default();
             *count += 1;
-            assert_eq!(*count, 1, "{attempt:?} ran again");
+            assert_eq!(*count, 1, "at-most-once item of {attempt:?} ran twice");
         }
         let left_ms = self.random.gen_range(STEP_MS..3_000);
         self.nodes[node].runs.push(Run {
@@ -323,7 +328,7 @@
             RunCommand::Run => run.paused = false,
             RunCommand::Stop => {
                 (run.paused, run.left_ms) = (false, STEP_MS);
-                // A stop may meet an item that has just ended.
+                // A stop may arrive when the item has just ended.
                 if self.random.gen_range(0..2) == 0 && !matches!(run.end, RunEnd::NotRun(_)) {
                     run.end = RunEnd::Stopped;
                 }
@@ -333,7 +338,7 @@
 }
 
 #[test]
-fn every_item_ends_once_and_none_that_must_not_be_repeated_runs_twice() {
+fn every_item_ends_once_and_no_at_most_once_item_runs_twice() {
     let mut indeterminate = 0;
     for seed in 0..SEEDS {
         let mut simulation = Simulation::new(seed);
@@ -359,8 +364,5 @@
             }
         }
     }
-    assert!(
-        indeterminate > 0,
-        "no seed had an outcome that nobody knows"
-    );
+    assert!(indeterminate > 0, "no seed produced an indeterminate item");
 }
