--- a/crates/pinerill-node/src/batch/demand.rs
+++ b/crates/pinerill-node/src/batch/demand.rs
@@ -12,8 +12,8 @@
 
 /// Most items of one service in one lease request.
 const MAX_ITEMS_PER_WANT: u32 = 64;
-/// For every this many running items one more is leased ahead, so that a slot
-/// that becomes free is filled without waiting for a lease request.
+/// Number of running items per item that is leased ahead, so that a slot that
+/// becomes free is filled without waiting for a lease request.
 const LEASE_AHEAD_DIVISOR: u32 = 8;
 /// First backoff after a group returned no items of a service, milliseconds.
 /// It doubles with every further empty response.
@@ -33,6 +33,7 @@
 pub struct GroupHints {
     backlog: Backlog,
     backoffs: BTreeMap<(ServiceName, u32), EmptyBackoff>,
+    /// Rotates the order of the groups with every round of requests.
     cursor: usize,
 }
 
--- a/crates/pinerill-node/src/batch/leases.rs
+++ b/crates/pinerill-node/src/batch/leases.rs
@@ -16,7 +16,7 @@
 /// Duration of a lease without renewal, milliseconds. It is longer than a leader
 /// election of a group takes, so that an election loses no lease.
 pub const LEASE_MS: u64 = 30_000;
-/// Age at which leases are record_renewed, milliseconds. The response to a renewal also
+/// Age at which leases are renewed, milliseconds. The response to a renewal also
 /// lists cancelled items, so this bounds how long a cancelled item keeps running.
 const RENEWAL_AGE_MS: u64 = 3_000;
 /// Least remaining time of a lease under which an item is started, milliseconds.
@@ -77,7 +77,7 @@
         self.groups.values().any(|one| one.request.is_some())
     }
 
-    /// Returns the items that unanswered lease requests add_request for, by service.
+    /// Returns the items that unanswered lease requests ask for, by service.
     pub fn requested(&self) -> impl Iterator<Item = &LeaseWant> {
         let requests = self.groups.values().filter_map(|one| one.request.as_ref());
         requests.flat_map(|request| &request.message.wants)
@@ -119,7 +119,7 @@
     }
 
     /// Records the items that a group leased in response to the open request.
-    /// Returns what the request requested for; empty if no request was open.
+    /// Returns what the request asked for; empty if no request was open.
     pub fn record_leased(&mut self, group: u32, items: &[AttemptRef]) -> Vec<LeaseWant> {
         let leases = self.groups.entry(group).or_default();
         let Some(request) = leases.request.take() else {
--- a/crates/pinerill-node/src/batch/outbox.rs
+++ b/crates/pinerill-node/src/batch/outbox.rs
@@ -27,6 +27,7 @@
     /// Number of reports at the front of `waiting` that were sent and not
     /// answered.
     in_flight: usize,
+    /// When the next message may be sent, milliseconds.
     due_ms: u64,
 }
 
--- a/crates/pinerill-node/src/batch/planner.rs
+++ b/crates/pinerill-node/src/batch/planner.rs
@@ -130,8 +130,7 @@
         out
     }
 
-    /// Collects all actions that are due at `now_ms`. Pauses come first, since
-    /// online requests wait for them.
+    /// Collects all actions that are due at `now_ms`. Pauses come first.
     fn advance(&mut self, now_ms: u64, out: &mut Vec<Output>) {
         self.engines.tick(now_ms);
         self.apply_windows(now_ms, out);
--- a/crates/pinerill-node/src/batch/planner/answers.rs
+++ b/crates/pinerill-node/src/batch/planner/answers.rs
@@ -91,6 +91,7 @@
     }
 }
 
+/// Returns the metric label of an end that the group counted.
 fn end_label(end: &AttemptEnd) -> &'static str {
     match end {
         AttemptEnd::Completed(_) => "completed",
--- a/crates/pinerill-node/src/batch/planner/ending.rs
+++ b/crates/pinerill-node/src/batch/planner/ending.rs
@@ -6,10 +6,12 @@
 use super::{Item, Planner, Stage, StopReason};
 use crate::batch::message::{Event, Output, RunCommand, RunEnd};
 
-/// Most runs of an item under one lease, each at another engine.
+/// Most runs of an item under one lease, each at a different engine.
 const MAX_RUNS_PER_LEASE: usize = 4;
 
 impl Planner {
+    /// Commands the run of an item to stop. A lost lease replaces the reason of a
+    /// stop that is already under way, so that the item is not reported.
     pub(super) fn stop(&mut self, attempt: AttemptRef, reason: StopReason, out: &mut Vec<Output>) {
         let Some(item) = self.items.get_mut(&attempt) else {
             return;
--- a/crates/pinerill-node/src/batch/run.rs
+++ b/crates/pinerill-node/src/batch/run.rs
@@ -40,7 +40,8 @@
 /// The part of an answer that was read so far.
 #[derive(Debug)]
 pub struct PartialAnswer {
-    /// The model version that generated the part; `None` if no run got that far.
+    /// The model version that generated the part; `None` if no
+    /// engine could be used.
     pub served: Option<Served>,
     /// The reader that holds the text and the offset to resume from.
     pub reader: AnswerReader,
@@ -50,7 +51,7 @@
 pub struct EngineRun {
     /// The engine that the item runs at.
     pub engine: Arc<Engine>,
-    /// Records connection failures and rejections of workers.
+    /// The fleet, which records loads, connection failures and rejections.
     pub fleet: Arc<Fleet>,
     /// The node's metrics.
     pub metrics: Arc<Metrics>,
@@ -225,6 +226,7 @@
         }
     }
 
+    /// Cancels the request at the engine and returns the outcome of the stopped run.
     async fn stop(&self) -> RunEnd {
         match self.cancel().await {
             CancelAnswer::NotStarted => RunEnd::StoppedBeforeStart,
@@ -239,7 +241,7 @@
     }
 
     /// Applies the newest command at the engine. Returns false if the run has to
-    /// stop. A command that the engine did not confirm is retried by the caller.
+    /// stop. A command that the engine did not confirm is sent again by the next call.
     async fn apply_command(&mut self) -> bool {
         let newest = *self.run.commands.borrow_and_update();
         let id = &self.run.request_id;
--- a/crates/pinerill-node/src/batch/run/reading.rs
+++ b/crates/pinerill-node/src/batch/run/reading.rs
@@ -14,7 +14,7 @@
 const STALL_TIMEOUT: Duration = Duration::from_secs(30);
 /// Pause before a command that the engine did not confirm is retried.
 const COMMAND_RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Stalls in a row after which the item counts as lost at the engine.
+/// Stalls in a row that are tolerated before the item counts as lost at the engine.
 const MAX_STALLS: u32 = 20;
 /// Backoff before each attempt to reattach, milliseconds.
 const RESUME_BACKOFFS_MS: [u64; 3] = [0, 50, 200];
--- a/crates/pinerill-node/src/batch/shell.rs
+++ b/crates/pinerill-node/src/batch/shell.rs
@@ -147,11 +147,11 @@
     fn step(&mut self, input: Input) {
         let outputs = self.planner.step(clock::now_ms(), input);
         for output in outputs {
-            self.carry_out(output);
+            self.execute(output);
         }
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn execute(&mut self, output: Output) {
         match output {
             Output::Lease(message) => self.call(GroupCall::Lease, Request::LeaseItems(message)),
             Output::Renew(message) => self.call(GroupCall::Renew, Request::RenewLeases(message)),
@@ -199,7 +199,7 @@
         let served = plan.as_ref().zip(found.as_ref());
         let served = served.and_then(|(plan, engine)| engine.serves(plan));
         let (Some(plan), Some(engine), Some(served)) = (plan, found, served) else {
-            let partial = empty_answer(&request_id, None);
+            let partial = empty_partial(&request_id, None);
             let end = RunEnd::NotRun("the service, the engine or its model has gone".to_owned());
             let _ = self
                 .inputs
@@ -209,7 +209,7 @@
         // A partial answer can only be continued by the model version that
         // generated it.
         let earlier = earlier.filter(|partial| partial.served.as_ref() == Some(&served));
-        let partial = earlier.unwrap_or_else(|| empty_answer(&request_id, Some(served.clone())));
+        let partial = earlier.unwrap_or_else(|| empty_partial(&request_id, Some(served.clone())));
         let now = Instant::now();
         let (sender, commands) = watch::channel(TimedCommand {
             command: RunCommand::Run,
@@ -247,7 +247,7 @@
     }
 }
 
-fn empty_answer(request_id: &str, served: Option<Served>) -> PartialAnswer {
+fn empty_partial(request_id: &str, served: Option<Served>) -> PartialAnswer {
     PartialAnswer {
         served,
         reader: AnswerReader::new(request_id),
--- a/crates/pinerill-node/src/batch/window.rs
+++ b/crates/pinerill-node/src/batch/window.rs
@@ -7,9 +7,10 @@
 //! of a service says how many free slots batch leaves unused for shorter steps;
 //! the next online requests take these slots without a pause of any item.
 //!
-//! There are two limits. Items are started and resumed up to [`Window::start_limit`] and
-//! paused above [`Window::run_limit`]. The slots between the two are reserved for
-//! the next arrivals, so that a single short request pauses no item.
+//! There are two limits. Items are started and resumed up to
+//! [`Window::start_limit`] and paused above [`Window::run_limit`]. The slots
+//! between the two are reserved for the next arrivals, so that a single short
+//! request pauses no item.
 //!
 //! This module does no I/O and reads no clock; the planner passes in the time.
 
@@ -69,6 +70,7 @@
         self.slots.saturating_sub(self.online)
     }
 
+    /// Returns the number of items that may wait in the engine's queue.
     fn queue_allowance(&self) -> u32 {
         self.slots.div_ceil(SLOTS_PER_QUEUED_ITEM)
     }
@@ -101,8 +103,11 @@
 pub struct Window {
     run_limit: u32,
     start_limit: u32,
+    /// The window does not grow before this time, because an online request waited.
     no_growth_until_ms: u64,
     next_start_ms: u64,
+    /// No item may wait in the engine's queue before this time, because the engine
+    /// preempted one.
     queue_allowed_from_ms: u64,
     next_growth_ms: u64,
 }
@@ -188,6 +193,7 @@
     /// Returns the most items that fit beside the online requests: the free slots,
     /// plus some in the engine's queue unless the engine has just preempted.
     fn max_items(&self, now_ms: u64, load: EngineLoad, policy: WindowPolicy) -> u32 {
+        // All slots are headroom, so nothing may run beside online requests.
         let is_exclusive = load.headroom(policy) == load.slots;
         let queue_allowance = match self.queue_allowed_from_ms <= now_ms {
             true => load.queue_allowance(),
--- a/crates/pinerill-node/tests/batch_api.rs
+++ b/crates/pinerill-node/tests/batch_api.rs
@@ -28,7 +28,7 @@
     (answer.0, text("code"), text("outcome"), text("message"))
 }
 
-fn is_part(request: &Request) -> bool {
+fn is_submit_job(request: &Request) -> bool {
     matches!(request, Request::SubmitJob(_))
 }
 
@@ -105,7 +105,7 @@
     let empty = node.submit("k", "\n\n".to_owned()).await;
     assert_eq!(error(&empty).1, "invalid_request");
     assert_eq!(node.submit("", good).await.0, 400);
-    assert_eq!(node.control.count(is_part), 0);
+    assert_eq!(node.control.count(is_submit_job), 0);
 }
 
 #[tokio::test]
@@ -137,7 +137,7 @@
 #[tokio::test]
 async fn retry_with_the_same_key_after_a_lost_response_creates_one_job() {
     let node = node().await;
-    node.control.fault(is_part, Fault::AnswerLost);
+    node.control.fault(is_submit_job, Fault::AnswerLost);
     let lost = node.submit("k", lines(3, 8)).await;
     let (status, code, outcome, _) = error(&lost);
     assert_eq!(
--- a/crates/pinerill-node/tests/batch_runner.rs
+++ b/crates/pinerill-node/tests/batch_runner.rs
@@ -15,14 +15,14 @@
 use support::{bundle, line, once, until, FakeControl, TestNode, KEY};
 
 /// Starts a node with one simulated worker that has one engine.
-async fn start(bundle: Bundle) -> (TestNode, FakeWorker) {
+async fn start_node(bundle: Bundle) -> (TestNode, FakeWorker) {
     let worker = FakeWorker::start("worker-1", 1).await;
     let control = Arc::new(FakeControl::new(bundle));
     control.list_workers(vec![worker.record()]);
     (TestNode::start(control).await, worker)
 }
 
-fn weighted(tail_weight: f64) -> Bundle {
+fn bundle_with_tail_weight(tail_weight: f64) -> Bundle {
     let mut bundle = bundle();
     let service = bundle.services.get_mut(&"fanar".into()).expect("a service");
     service.sharing.tail_weight = tail_weight;
@@ -35,7 +35,7 @@
         .collect()
 }
 
-fn ended(node: &TestNode, state: ItemState) -> usize {
+fn count_items(node: &TestNode, state: ItemState) -> usize {
     node.control.jobs.lock().count(state)
 }
 
@@ -49,7 +49,7 @@
 
 /// Sends an online request in a background task, which returns the status and the
 /// body of its response.
-fn online(node: &TestNode) -> tokio::task::JoinHandle<(u16, Value)> {
+fn send_online(node: &TestNode) -> tokio::task::JoinHandle<(u16, Value)> {
     let body = json!({"model": "fanar", "prompt": "crew", "max_tokens": 4});
     let request = node.http.post(node.url("/v1/completions"));
     let request = request.bearer_auth(KEY).json(&body);
@@ -58,9 +58,12 @@
 
 #[tokio::test]
 async fn every_item_of_a_job_completes_once_with_its_own_answer() {
-    let (node, worker) = start(bundle()).await;
+    let (node, worker) = start_node(bundle()).await;
     node.submit("k", lines(40)).await;
-    until("all complete", || ended(&node, ItemState::Completed) == 40).await;
+    until("all complete", || {
+        count_items(&node, ItemState::Completed) == 40
+    })
+    .await;
     let jobs = node.control.jobs.lock();
     for item in jobs.jobs.values().flat_map(|job| &job.items) {
         let answer: Value = serde_json::from_str(&item.body).expect("JSON");
@@ -76,18 +79,21 @@
 
 #[tokio::test]
 async fn online_request_pauses_batch_items_which_resume_afterwards() {
-    let (node, worker) = start(weighted(1.0)).await;
+    let (node, worker) = start_node(bundle_with_tail_weight(1.0)).await;
     worker.change(|model| model.hold_after = Some(1));
     // At tail weight 1.0 one of the four slots of an idle engine stays free for the
     // next arrival.
     node.submit("k", lines(3)).await;
     until("three run", || worker.count(true, Stage::Running) == 3).await;
-    let answer = online(&node);
+    let answer = send_online(&node);
     until("all are paused", || worker.count(true, Stage::Paused) == 3).await;
     assert_eq!(worker.count(true, Stage::Cancelled), 0);
     worker.change(|model| model.hold_after = None);
     assert_eq!(answer.await.expect("ends").0, 200);
-    until("all complete", || ended(&node, ItemState::Completed) == 3).await;
+    until("all complete", || {
+        count_items(&node, ItemState::Completed) == 3
+    })
+    .await;
     assert_eq!(
         worker.model.lock().arrivals.len(),
         4,
@@ -99,7 +105,7 @@
 
 #[tokio::test]
 async fn online_load_and_preemptions_reported_by_the_engine_shrink_the_window() {
-    let (node, worker) = start(weighted(0.5)).await;
+    let (node, worker) = start_node(bundle_with_tail_weight(0.5)).await;
     worker.change(|model| model.hold_after = Some(1));
     node.submit("k", lines(4)).await;
     until("four run", || worker.count(true, Stage::Running) == 4).await;
@@ -117,9 +123,11 @@
     until("none runs", || worker.count(true, Stage::Paused) == 4).await;
 }
 
+/// A pause that reaches the engine before its request finds nothing to pause.
+/// Without a retry the item would keep running beside the online request.
 #[tokio::test]
 async fn pause_that_overtakes_its_request_is_retried_until_applied() {
-    let (node, worker) = start(weighted(1.0)).await;
+    let (node, worker) = start_node(bundle_with_tail_weight(1.0)).await;
     worker.change(|model| (model.hold_after, model.hold_heads) = (Some(1), true));
     node.submit("k", lines(1)).await;
     until("it is sent", || worker.model.lock().arrivals.len() == 1).await;
@@ -130,7 +138,7 @@
         .came
         .pop_first()
         .expect("a request at the engine");
-    let answer = online(&node);
+    let answer = send_online(&node);
     until("the window closes", || {
         worker.model.lock().arrivals.len() == 2
     })
@@ -147,17 +155,23 @@
     .await;
     worker.change(|model| model.hold_after = None);
     assert_eq!(answer.await.expect("ends").0, 200);
-    until("it completes", || ended(&node, ItemState::Completed) == 1).await;
+    until("it completes", || {
+        count_items(&node, ItemState::Completed) == 1
+    })
+    .await;
 }
 
 #[tokio::test]
 async fn broken_stream_is_resumed_without_a_second_request() {
-    let (node, worker) = start(bundle()).await;
+    let (node, worker) = start_node(bundle()).await;
     worker.change(|model| model.hold_after = Some(2));
     node.submit("k", lines(2) + &once("once", "p")).await;
     until("three run", || worker.count(true, Stage::Running) == 3).await;
     worker.change(|model| (model.cuts, model.hold_after) = (1, None));
-    until("all complete", || ended(&node, ItemState::Completed) == 3).await;
+    until("all complete", || {
+        count_items(&node, ItemState::Completed) == 3
+    })
+    .await;
     assert_eq!(worker.model.lock().arrivals.len(), 3);
 }
 
@@ -183,10 +197,13 @@
         .list_workers(vec![dying.record_at(proxy.address), other.record()]);
     proxy.gone();
     until("one is indeterminate", || {
-        ended(&node, ItemState::Indeterminate) == 1
+        count_items(&node, ItemState::Indeterminate) == 1
+    })
+    .await;
+    until("one completes", || {
+        count_items(&node, ItemState::Completed) == 1
     })
     .await;
-    until("one completes", || ended(&node, ItemState::Completed) == 1).await;
     let model = other.model.lock();
     assert_eq!(model.came.len(), 1, "the at-most-once item was sent again");
     let went_on = model.came.values().next().expect("one");
@@ -203,7 +220,10 @@
     node.submit("k", once("once", "p")).await;
     until("it is refused", || worker.model.lock().arrivals.len() >= 2).await;
     worker.change(|model| model.refusal = None);
-    until("it completes", || ended(&node, ItemState::Completed) == 1).await;
+    until("it completes", || {
+        count_items(&node, ItemState::Completed) == 1
+    })
+    .await;
     assert_eq!(
         worker.model.lock().came.len(),
         1,
@@ -211,6 +231,8 @@
     );
 }
 
+/// An at-most-once item whose connections all break before the engine begins it
+/// may run elsewhere only after a cancel has confirmed that it never began.
 #[tokio::test]
 async fn at_most_once_item_cut_off_before_its_start_is_cancelled_and_runs_once_elsewhere() {
     let control = Arc::new(FakeControl::new(bundle()));
@@ -232,16 +254,19 @@
     })
     .await;
     worker.change(|model| (model.hold_heads, model.hold_after) = (false, None));
-    until("it completes", || ended(&node, ItemState::Completed) == 1).await;
+    until("it completes", || {
+        count_items(&node, ItemState::Completed) == 1
+    })
+    .await;
     assert_eq!(worker.count(true, Stage::Finished), 1);
 }
 
 #[tokio::test]
 async fn item_rejected_as_a_bad_request_ends_as_failed() {
-    let (node, worker) = start(bundle()).await;
+    let (node, worker) = start_node(bundle()).await;
     worker.change(|model| model.refusal = Some((400, "bad_request")));
     node.submit("k", lines(1)).await;
-    until("it fails", || ended(&node, ItemState::Failed) == 1).await;
+    until("it fails", || count_items(&node, ItemState::Failed) == 1).await;
     let ends = reports(&node);
     let AttemptEnd::Failed(error) = &ends[0] else {
         panic!("{ends:?}");
@@ -253,9 +278,11 @@
     );
 }
 
+/// A request whose response is lost may have been carried out by the group. A
+/// retry must neither lease an item twice nor use up an attempt.
 #[tokio::test]
 async fn lost_group_responses_neither_lose_nor_repeat_items() {
-    let (node, worker) = start(bundle()).await;
+    let (node, worker) = start_node(bundle()).await;
     let is_lease = |request: &Request| matches!(request, Request::LeaseItems(_));
     let is_end = |request: &Request| matches!(request, Request::EndAttempts(_));
     for fault in [Fault::AnswerLost, Fault::NotSent, Fault::AnswerLost] {
@@ -263,7 +290,10 @@
         node.control.fault(is_end, fault);
     }
     node.submit("k", lines(6) + &once("once", "p")).await;
-    until("all complete", || ended(&node, ItemState::Completed) == 7).await;
+    until("all complete", || {
+        count_items(&node, ItemState::Completed) == 7
+    })
+    .await;
     assert_eq!(worker.model.lock().arrivals.len(), 7);
     let jobs = node.control.jobs.lock();
     let mut items = jobs.jobs.values().flat_map(|job| &job.items);
@@ -272,7 +302,7 @@
 
 #[tokio::test]
 async fn cancelling_a_job_ends_its_items_at_the_engine_and_sends_no_more() {
-    let (node, worker) = start(bundle()).await;
+    let (node, worker) = start_node(bundle()).await;
     worker.change(|model| model.hold_after = Some(1));
     let job = node.submit("k", lines(30)).await.1;
     // The engine has four slots and holds one more item in its queue.
--- a/crates/pinerill-node/tests/batch_simulation.rs
+++ b/crates/pinerill-node/tests/batch_simulation.rs
@@ -23,9 +23,9 @@
 const SEEDS: u64 = 12;
 const STEP_MS: u64 = 20;
 /// No more faults are injected after this time, milliseconds.
-const TROUBLE_MS: u64 = 60_000;
+const FAULTS_END_MS: u64 = 60_000;
 /// Time by which every item must have ended, milliseconds.
-const END_MS: u64 = 240_000;
+const DEADLINE_MS: u64 = 240_000;
 const GROUPS: u32 = 2;
 const ITEMS: u32 = 300;
 const NODES: usize = 2;
@@ -35,7 +35,7 @@
 /// A run of an item at an engine.
 struct Run {
     attempt: AttemptRef,
-    left_ms: u64,
+    remaining_ms: u64,
     paused: bool,
     end: RunEnd,
 }
@@ -46,7 +46,7 @@
     frozen_until_ms: u64,
     runs: Vec<Run>,
     /// Responses in flight, each with its arrival time in milliseconds.
-    answers: Vec<(u64, Input)>,
+    responses: Vec<(u64, Input)>,
     online: Vec<u32>,
     arrivals: u64,
 }
@@ -79,7 +79,7 @@
             incarnation: 1,
             frozen_until_ms: 0,
             runs: Vec::new(),
-            answers: Vec::new(),
+            responses: Vec::new(),
             online: vec![0; usize::from(ENGINES)],
             arrivals: 0,
         });
@@ -118,12 +118,12 @@
         self.jobs.call(group, Request::SubmitJob(part));
     }
 
-    fn troubled(&self) -> bool {
-        self.now_ms < TROUBLE_MS
+    fn injects_faults(&self) -> bool {
+        self.now_ms < FAULTS_END_MS
     }
 
     fn chance(&mut self, percent: u32) -> bool {
-        self.troubled() && self.random.gen_range(0..100) < percent
+        self.injects_faults() && self.random.gen_range(0..100) < percent
     }
 
     fn is_over(&self) -> bool {
@@ -132,13 +132,13 @@
     }
 
     fn run(&mut self) {
-        while self.troubled() || !self.is_over() {
-            assert!(self.now_ms < END_MS, "an item or a report never ends");
+        while self.injects_faults() || !self.is_over() {
+            assert!(self.now_ms < DEADLINE_MS, "an item or a report never ends");
             self.now_ms += STEP_MS;
             self.jobs.now_ms = self.now_ms;
             self.jobs.expire();
             for node in 0..NODES {
-                self.trouble(node);
+                self.inject_faults(node);
                 if self.nodes[node].frozen_until_ms <= self.now_ms {
                     self.step(node);
                 }
@@ -148,18 +148,18 @@
 
     /// Freezes or restarts a node at random and changes the online load of its
     /// engines. A restarted node has lost track of its runs.
-    fn trouble(&mut self, node: usize) {
-        if self.random.gen_range(0..4_000) == 0 && self.troubled() {
+    fn inject_faults(&mut self, node: usize) {
+        if self.random.gen_range(0..4_000) == 0 && self.injects_faults() {
             let pause = self.random.gen_range(1_000..2 * LEASE_MS);
             self.nodes[node].frozen_until_ms = self.now_ms + pause;
         }
-        if self.random.gen_range(0..4_000) == 0 && self.troubled() {
+        if self.random.gen_range(0..4_000) == 0 && self.injects_faults() {
             let incarnation = self.nodes[node].incarnation + 1;
             let state = &mut self.nodes[node];
             state.incarnation = incarnation;
             state.planner = planner(node, incarnation);
             state.runs.clear();
-            state.answers.clear();
+            state.responses.clear();
         }
         for engine in 0..usize::from(ENGINES) {
             if self.chance(2) {
@@ -167,7 +167,7 @@
                 let state = &mut self.nodes[node];
                 state.arrivals += u64::from(online > state.online[engine]);
                 state.online[engine] = online;
-            } else if !self.troubled() {
+            } else if !self.injects_faults() {
                 self.nodes[node].online[engine] = 0;
             }
         }
@@ -179,30 +179,30 @@
         let mut inputs = vec![Input::Engines(views), Input::Backlog(backlog)];
         let now_ms = self.now_ms;
         let state = &mut self.nodes[node];
-        let (due, later) = state.answers.drain(..).partition(|(at, _)| *at <= now_ms);
-        state.answers = later;
+        let (due, later) = state.responses.drain(..).partition(|(at, _)| *at <= now_ms);
+        state.responses = later;
         inputs.extend(due.into_iter().map(|(_, input): (u64, Input)| input));
-        let passed = |run: &mut Run| {
-            run.left_ms = run
-                .left_ms
-                .saturating_sub(if run.paused { 0 } else { STEP_MS });
-            run.left_ms == 0
+        let advance = |run: &mut Run| {
+            run.remaining_ms =
+                run.remaining_ms
+                    .saturating_sub(if run.paused { 0 } else { STEP_MS });
+            run.remaining_ms == 0
         };
-        let mut left = Vec::new();
+        let mut unfinished = Vec::new();
         for mut run in state.runs.drain(..) {
-            if passed(&mut run) {
+            if advance(&mut run) {
                 let (attempt, end) = (run.attempt, run.end);
                 inputs.push(Input::Ended { attempt, end });
             } else {
-                left.push(run);
+                unfinished.push(run);
             }
         }
-        state.runs = left;
+        state.runs = unfinished;
         for input in inputs {
             let outputs = self.nodes[node].planner.step(now_ms, input);
             outputs
                 .into_iter()
-                .for_each(|output| self.carry_out(node, output));
+                .for_each(|output| self.execute(node, output));
         }
     }
 
@@ -236,7 +236,7 @@
         (0..ENGINES).map(view).collect()
     }
 
-    fn carry_out(&mut self, node: usize, output: Output) {
+    fn execute(&mut self, node: usize, output: Output) {
         match output {
             Output::Lease(ask) => {
                 let group = ask.group;
@@ -245,7 +245,7 @@
                     Response::LeaseItems(response) => response.items,
                     other => panic!("{other:?}"),
                 });
-                self.answer(node, Input::Leased { group, result });
+                self.deliver(node, Input::Leased { group, result });
             }
             Output::Renew(ask) => {
                 let group = ask.group;
@@ -254,7 +254,7 @@
                     Response::RenewLeases(response) => response.lost,
                     other => panic!("{other:?}"),
                 });
-                self.answer(node, Input::Renewed { group, result });
+                self.deliver(node, Input::Renewed { group, result });
             }
             Output::Report(ask) => {
                 let group = ask.group;
@@ -263,7 +263,7 @@
                     Response::EndAttempts(response) => response.verdicts,
                     other => panic!("{other:?}"),
                 });
-                self.answer(node, Input::Reported { group, result });
+                self.deliver(node, Input::Reported { group, result });
             }
             Output::Start { attempt, .. } => self.start(node, attempt),
             Output::Command { attempt, command } => self.command(node, attempt, command),
@@ -284,10 +284,10 @@
         Ok(answer)
     }
 
-    fn answer(&mut self, node: usize, input: Input) {
+    fn deliver(&mut self, node: usize, input: Input) {
         let slow = if self.chance(1) { LEASE_MS } else { 100 };
         let at = self.now_ms + self.random.gen_range(0..slow);
-        self.nodes[node].answers.push((at, input));
+        self.nodes[node].responses.push((at, input));
     }
 
     fn start(&mut self, node: usize, attempt: AttemptRef) {
@@ -296,8 +296,8 @@
         let leased = item.state == ItemState::Leased && item.attempt == attempt.attempt;
         assert!(leased, "{attempt:?} was started without a lease");
         let end = match self.random.gen_range(0..100) {
-            0..=9 if self.troubled() => RunEnd::NotRun("refused".to_owned()),
-            10..=19 if self.troubled() => RunEnd::Lost("cut".to_owned()),
+            0..=9 if self.injects_faults() => RunEnd::NotRun("refused".to_owned()),
+            10..=19 if self.injects_faults() => RunEnd::Lost("cut".to_owned()),
             _ => RunEnd::Completed(format!("{{\"index\":{}}}", attempt.index)),
         };
         let ran = !matches!(end, RunEnd::NotRun(_));
@@ -309,10 +309,10 @@
             *count += 1;
             assert_eq!(*count, 1, "at-most-once item of {attempt:?} ran twice");
         }
-        let left_ms = self.random.gen_range(STEP_MS..3_000);
+        let remaining_ms = self.random.gen_range(STEP_MS..3_000);
         self.nodes[node].runs.push(Run {
             attempt,
-            left_ms,
+            remaining_ms,
             paused: false,
             end,
         });
@@ -327,7 +327,7 @@
             RunCommand::Pause => run.paused = true,
             RunCommand::Run => run.paused = false,
             RunCommand::Stop => {
-                (run.paused, run.left_ms) = (false, STEP_MS);
+                (run.paused, run.remaining_ms) = (false, STEP_MS);
                 // A stop may arrive when the item has just ended.
                 if self.random.gen_range(0..2) == 0 && !matches!(run.end, RunEnd::NotRun(_)) {
                     run.end = RunEnd::Stopped;
--- a/crates/pinerill-node/tests/batch_window.rs
+++ b/crates/pinerill-node/tests/batch_window.rs
@@ -143,6 +143,7 @@
     assert_eq!(window.start_limit(), 18);
 }
 
+/// Arrivals at other nodes cause no arrival signal and show only in the load.
 #[test]
 fn load_update_shrinks_the_window_without_a_signal() {
     let (mut window, now) = grown_window(0.5);
