--- a/crates/pinerill-node/src/batch/engines.rs
+++ b/crates/pinerill-node/src/batch/engines.rs
@@ -85,7 +85,7 @@
     pub fn set_policies(&mut self, policies: BTreeMap<ServiceName, WindowPolicy>) {
         self.policies = policies;
         for engine in self.engines.values_mut() {
-            engine.policy = strictest_policy(&self.policies, &engine.view.services);
+            engine.policy = combine_policies(&self.policies, &engine.view.services);
         }
     }
 
@@ -97,7 +97,7 @@
             engine.view.accepts_batch = false;
         }
         for view in views {
-            let policy = strictest_policy(&self.policies, &view.services);
+            let policy = combine_policies(&self.policies, &view.services);
             match self.engines.get_mut(&view.id) {
                 Some(engine) => engine.observe(now_ms, view, policy),
                 None => {
@@ -337,16 +337,16 @@
 
 /// Combines the policies of the services of one engine: the highest tail weight
 /// and the highest limit. Without a known service nothing may run there.
-fn strictest_policy(
+fn combine_policies(
     policies: &BTreeMap<ServiceName, WindowPolicy>,
     services: &[ServiceName],
 ) -> WindowPolicy {
     let known = services.iter().filter_map(|service| policies.get(service));
-    let strictest = known.copied().reduce(|left, right| WindowPolicy {
+    let combined = known.copied().reduce(|left, right| WindowPolicy {
         tail_weight: left.tail_weight.max(right.tail_weight),
         limit: left.limit.max(right.limit),
     });
-    strictest.unwrap_or(WindowPolicy {
+    combined.unwrap_or(WindowPolicy {
         tail_weight: 1.0,
         limit: 0,
     })
