--- a/crates/pinerill-node/tests/batch_simulation.rs
+++ b/crates/pinerill-node/tests/batch_simulation.rs
@@ -1,6 +1,9 @@
-//! Two planners, the groups' model and engines in seeded runs: answers are
-//! lost, engines break, online work comes and goes, a node freezes past its
-//! leases and one is started again. Time is virtual.
+//! Runs two planners against a model of the job groups and simulated engines.
+//!
+//! Faults are drawn from a seed: lost responses, failing engines, changing online
+//! load, nodes that freeze past their leases and nodes that restart. Time is
+//! virtual. Guards against items that never end, that end with the answer of
+//! another item, and at-most-once items that run twice.
 
 mod support;
 
@@ -19,20 +22,20 @@
 
 const SEEDS: u64 = 12;
 const STEP_MS: u64 = 20;
-/// Faults end after this time.
-const TROUBLE_MS: u64 = 60_000;
-/// By then everything must have ended.
-const END_MS: u64 = 240_000;
+/// No more faults are injected after this time, milliseconds.
+const FAULTS_END_MS: u64 = 60_000;
+/// Time by which every item must have ended, milliseconds.
+const DEADLINE_MS: u64 = 240_000;
 const GROUPS: u32 = 2;
 const ITEMS: u32 = 300;
 const NODES: usize = 2;
 const ENGINES: u16 = 2;
 const SLOTS: u32 = 4;
 
-/// An item at an engine.
+/// A run of an item at an engine.
 struct Run {
     attempt: AttemptRef,
-    left_ms: u64,
+    remaining_ms: u64,
     paused: bool,
     end: RunEnd,
 }
@@ -42,8 +45,8 @@
     incarnation: u64,
     frozen_until_ms: u64,
     runs: Vec<Run>,
-    /// Answers on their way, with when they arrive.
-    answers: Vec<(u64, Input)>,
+    /// Responses in flight, each with its arrival time in milliseconds.
+    responses: Vec<(u64, Input)>,
     online: Vec<u32>,
     arrivals: u64,
 }
@@ -53,7 +56,7 @@
     now_ms: u64,
     jobs: FakeJobs,
     nodes: Vec<Node>,
-    /// How often each item that must not be repeated may have run.
+    /// How often each at-most-once item may have run.
     may_have_run: HashMap<(JobId, u32), u32>,
 }
 
@@ -76,7 +79,7 @@
             incarnation: 1,
             frozen_until_ms: 0,
             runs: Vec::new(),
-            answers: Vec::new(),
+            responses: Vec::new(),
             online: vec![0; usize::from(ENGINES)],
             arrivals: 0,
         });
@@ -115,12 +118,12 @@
         self.jobs.call(group, Request::SubmitJob(part));
     }
 
-    fn troubled(&self) -> bool {
-        self.now_ms < TROUBLE_MS
+    fn injects_faults(&self) -> bool {
+        self.now_ms < FAULTS_END_MS
     }
 
     fn chance(&mut self, percent: u32) -> bool {
-        self.troubled() && self.random.gen_range(0..100) < percent
+        self.injects_faults() && self.random.gen_range(0..100) < percent
     }
 
     fn is_over(&self) -> bool {
@@ -129,13 +132,13 @@
     }
 
     fn run(&mut self) {
-        while self.troubled() || !self.is_over() {
-            assert!(self.now_ms < END_MS, "something never ends");
+        while self.injects_faults() || !self.is_over() {
+            assert!(self.now_ms < DEADLINE_MS, "an item or a report never ends");
             self.now_ms += STEP_MS;
             self.jobs.now_ms = self.now_ms;
             self.jobs.expire();
             for node in 0..NODES {
-                self.trouble(node);
+                self.inject_faults(node);
                 if self.nodes[node].frozen_until_ms <= self.now_ms {
                     self.step(node);
                 }
@@ -143,19 +146,20 @@
         }
     }
 
-    /// Freezes a node, or starts it again: what it ran is then on its own.
-    fn trouble(&mut self, node: usize) {
-        if self.random.gen_range(0..4_000) == 0 && self.troubled() {
+    /// Freezes or restarts a node at random and changes the online load of its
+    /// engines. A restarted node has lost track of its runs.
+    fn inject_faults(&mut self, node: usize) {
+        if self.random.gen_range(0..4_000) == 0 && self.injects_faults() {
             let pause = self.random.gen_range(1_000..2 * LEASE_MS);
             self.nodes[node].frozen_until_ms = self.now_ms + pause;
         }
-        if self.random.gen_range(0..4_000) == 0 && self.troubled() {
+        if self.random.gen_range(0..4_000) == 0 && self.injects_faults() {
             let incarnation = self.nodes[node].incarnation + 1;
             let state = &mut self.nodes[node];
             state.incarnation = incarnation;
             state.planner = planner(node, incarnation);
             state.runs.clear();
-            state.answers.clear();
+            state.responses.clear();
         }
         for engine in 0..usize::from(ENGINES) {
             if self.chance(2) {
@@ -163,7 +167,7 @@
                 let state = &mut self.nodes[node];
                 state.arrivals += u64::from(online > state.online[engine]);
                 state.online[engine] = online;
-            } else if !self.troubled() {
+            } else if !self.injects_faults() {
                 self.nodes[node].online[engine] = 0;
             }
         }
@@ -175,30 +179,30 @@
         let mut inputs = vec![Input::Engines(views), Input::Backlog(backlog)];
         let now_ms = self.now_ms;
         let state = &mut self.nodes[node];
-        let (due, later) = state.answers.drain(..).partition(|(at, _)| *at <= now_ms);
-        state.answers = later;
+        let (due, later) = state.responses.drain(..).partition(|(at, _)| *at <= now_ms);
+        state.responses = later;
         inputs.extend(due.into_iter().map(|(_, input): (u64, Input)| input));
-        let passed = |run: &mut Run| {
-            run.left_ms = run
-                .left_ms
-                .saturating_sub(if run.paused { 0 } else { STEP_MS });
-            run.left_ms == 0
+        let advance = |run: &mut Run| {
+            run.remaining_ms =
+                run.remaining_ms
+                    .saturating_sub(if run.paused { 0 } else { STEP_MS });
+            run.remaining_ms == 0
         };
-        let mut left = Vec::new();
+        let mut unfinished = Vec::new();
         for mut run in state.runs.drain(..) {
-            if passed(&mut run) {
+            if advance(&mut run) {
                 let (attempt, end) = (run.attempt, run.end);
                 inputs.push(Input::Ended { attempt, end });
             } else {
-                left.push(run);
+                unfinished.push(run);
             }
         }
-        state.runs = left;
+        state.runs = unfinished;
         for input in inputs {
             let outputs = self.nodes[node].planner.step(now_ms, input);
             outputs
                 .into_iter()
-                .for_each(|output| self.carry_out(node, output));
+                .for_each(|output| self.execute(node, output));
         }
     }
 
@@ -224,7 +228,7 @@
                 slots: SLOTS,
                 online: state.online[usize::from(engine)],
             },
-            open: true,
+            accepts_batch: true,
             arrivals: state.arrivals,
             preemptions: 0,
             waiting: false,
@@ -232,7 +236,7 @@
         (0..ENGINES).map(view).collect()
     }
 
-    fn carry_out(&mut self, node: usize, output: Output) {
+    fn execute(&mut self, node: usize, output: Output) {
         match output {
             Output::Lease(ask) => {
                 let group = ask.group;
@@ -241,7 +245,7 @@
                     Response::LeaseItems(response) => response.items,
                     other => panic!("{other:?}"),
                 });
-                self.answer(node, Input::Leased { group, result });
+                self.deliver(node, Input::Leased { group, result });
             }
             Output::Renew(ask) => {
                 let group = ask.group;
@@ -250,7 +254,7 @@
                     Response::RenewLeases(response) => response.lost,
                     other => panic!("{other:?}"),
                 });
-                self.answer(node, Input::Renewed { group, result });
+                self.deliver(node, Input::Renewed { group, result });
             }
             Output::Report(ask) => {
                 let group = ask.group;
@@ -259,7 +263,7 @@
                     Response::EndAttempts(response) => response.verdicts,
                     other => panic!("{other:?}"),
                 });
-                self.answer(node, Input::Reported { group, result });
+                self.deliver(node, Input::Reported { group, result });
             }
             Output::Start { attempt, .. } => self.start(node, attempt),
             Output::Command { attempt, command } => self.command(node, attempt, command),
@@ -267,7 +271,8 @@
         }
     }
 
-    /// Carried out or not, and answered or not.
+    /// Calls a group. While faults are injected, the request or the response may be
+    /// lost.
     fn call(&mut self, group: u32, request: Request) -> Result<Response, NotAnswered> {
         if self.chance(10) {
             return Err(NotAnswered);
@@ -279,20 +284,20 @@
         Ok(answer)
     }
 
-    fn answer(&mut self, node: usize, input: Input) {
+    fn deliver(&mut self, node: usize, input: Input) {
         let slow = if self.chance(1) { LEASE_MS } else { 100 };
         let at = self.now_ms + self.random.gen_range(0..slow);
-        self.nodes[node].answers.push((at, input));
+        self.nodes[node].responses.push((at, input));
     }
 
     fn start(&mut self, node: usize, attempt: AttemptRef) {
         let item = self.jobs.item(attempt).expect("a leased item");
         let at_most_once = item.input.at_most_once;
         let leased = item.state == ItemState::Leased && item.attempt == attempt.attempt;
-        assert!(leased, "{attempt:?} is started without a lease");
+        assert!(leased, "{attempt:?} was started without a lease");
         let end = match self.random.gen_range(0..100) {
-            0..=9 if self.troubled() => RunEnd::NotRun("refused".to_owned()),
-            10..=19 if self.troubled() => RunEnd::Lost("cut".to_owned()),
+            0..=9 if self.injects_faults() => RunEnd::NotRun("refused".to_owned()),
+            10..=19 if self.injects_faults() => RunEnd::Lost("cut".to_owned()),
             _ => RunEnd::Completed(format!("{{\"index\":{}}}", attempt.index)),
         };
         let ran = !matches!(end, RunEnd::NotRun(_));
@@ -302,12 +307,12 @@
                 .entry((attempt.job, attempt.index))
                 .or_default();
             *count += 1;
-            assert_eq!(*count, 1, "{attempt:?} ran again");
+            assert_eq!(*count, 1, "at-most-once item of {attempt:?} ran twice");
         }
-        let left_ms = self.random.gen_range(STEP_MS..3_000);
+        let remaining_ms = self.random.gen_range(STEP_MS..3_000);
         self.nodes[node].runs.push(Run {
             attempt,
-            left_ms,
+            remaining_ms,
             paused: false,
             end,
         });
@@ -322,8 +327,8 @@
             RunCommand::Pause => run.paused = true,
             RunCommand::Run => run.paused = false,
             RunCommand::Stop => {
-                (run.paused, run.left_ms) = (false, STEP_MS);
-                // A stop may meet an item that has just ended.
+                (run.paused, run.remaining_ms) = (false, STEP_MS);
+                // A stop may arrive when the item has just ended.
                 if self.random.gen_range(0..2) == 0 && !matches!(run.end, RunEnd::NotRun(_)) {
                     run.end = RunEnd::Stopped;
                 }
@@ -333,7 +338,7 @@
 }
 
 #[test]
-fn every_item_ends_once_and_none_that_must_not_be_repeated_runs_twice() {
+fn every_item_ends_once_and_no_at_most_once_item_runs_twice() {
     let mut indeterminate = 0;
     for seed in 0..SEEDS {
         let mut simulation = Simulation::new(seed);
@@ -359,8 +364,5 @@
             }
         }
     }
-    assert!(
-        indeterminate > 0,
-        "no seed had an outcome that nobody knows"
-    );
+    assert!(indeterminate > 0, "no seed produced an indeterminate item");
 }
