--- a/crates/pinerill-node/src/drain.rs
+++ b/crates/pinerill-node/src/drain.rs
@@ -1,11 +1,12 @@
-//! A planned stop: no new requests, those in flight finish, then the end.
+//! Draining for a planned stop: new requests are rejected, those in flight
+//! finish, and then the node can stop.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 
 use tokio::sync::Notify;
 
-/// Requests in flight and whether new ones are taken.
+/// Counts the requests in flight and records whether new ones are accepted.
 #[derive(Debug, Default)]
 pub struct Drain {
     announced: AtomicBool,
@@ -14,7 +15,7 @@
     emptied: Notify,
 }
 
-/// One request in flight; ends when dropped.
+/// Guard that counts one request as in flight until it is dropped.
 #[derive(Debug)]
 pub struct InFlight(Arc<Drain>);
 
@@ -27,39 +28,39 @@
 }
 
 impl Drain {
-    /// One more request, unless the stop has begun.
+    /// Counts a new request as in flight. Returns None once draining has started.
     pub fn enter(self: &Arc<Self>) -> Option<InFlight> {
         self.in_flight.fetch_add(1, Ordering::AcqRel);
         let guard = InFlight(self.clone());
         (!self.has_started()).then_some(guard)
     }
 
-    /// Says that the stop will begin; requests are still taken.
+    /// Announces that draining will start soon; requests are still accepted.
     pub fn announce(&self) {
         self.announced.store(true, Ordering::Release);
     }
 
-    /// Whether the stop was announced or has begun.
+    /// Whether draining was announced or has started.
     pub fn is_announced(&self) -> bool {
         self.announced.load(Ordering::Acquire) || self.has_started()
     }
 
-    /// Begins the stop.
+    /// Starts draining: from now on `enter` returns None.
     pub fn start(&self) {
         self.started.store(true, Ordering::Release);
     }
 
-    /// Whether the stop has begun.
+    /// Whether draining has started, so that new requests are rejected.
     pub fn has_started(&self) -> bool {
         self.started.load(Ordering::Acquire)
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Acquire)
     }
 
-    /// Completes when no request is in flight.
+    /// Completes as soon as no request is in flight.
     pub async fn emptied(&self) {
         loop {
             let notified = self.emptied.notified();
--- a/crates/pinerill-node/src/failure.rs
+++ b/crates/pinerill-node/src/failure.rs
@@ -1,8 +1,9 @@
-//! What a caller is told when a request fails, and its HTTP status.
+//! Failures of caller requests: the error body, the stable error code and the
+//! HTTP status.
 
 use pinerill_types::outcome::{Failure, Outcome};
 
-/// The stable words of `docs/API.md`.
+/// Stable error codes, as documented in `docs/API.md`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[allow(missing_docs)]
 pub enum FailureCode {
@@ -32,7 +33,7 @@
 }
 
 impl FailureCode {
-    /// The word for programs.
+    /// Returns the stable string that the answer's `code` field holds.
     pub fn word(self) -> &'static str {
         match self {
             Self::InvalidJson => "invalid_json",
@@ -61,7 +62,7 @@
         }
     }
 
-    /// The HTTP status.
+    /// Returns the HTTP status that an answer with this code has.
     pub fn status(self) -> u16 {
         match self {
             Self::InvalidJson
@@ -86,25 +87,26 @@
     }
 }
 
-/// A failure of a request, with the step and the peer at which it arose.
+/// A failed request, with the step and the peer at which it failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestFailure {
-    /// The word.
+    /// Stable error code; it also decides the HTTP status.
     pub code: FailureCode,
-    /// Whether an engine may have run it.
+    /// Whether an engine may have run the request.
     pub outcome: Outcome,
-    /// The step that failed.
+    /// Processing step that failed, such as `read body`.
     pub step: &'static str,
-    /// The peer it was with.
+    /// Peer involved in the failed step; `node` when only this node was.
     pub peer: String,
-    /// A sentence for people.
+    /// Human-readable description.
     pub message: String,
-    /// When to come back, milliseconds.
+    /// Delay before the caller should retry, in milliseconds; None when no delay
+    /// is suggested.
     pub retry_after_ms: Option<u64>,
 }
 
 impl RequestFailure {
-    /// A failure of a request that certainly did not run.
+    /// Creates a failure of a request that no engine has run. The peer is `node`.
     pub fn not_run(code: FailureCode, step: &'static str, message: impl Into<String>) -> Self {
         Self {
             code,
@@ -116,7 +118,8 @@
         }
     }
 
-    /// A failure of a request that may have run.
+    /// Creates a failure of a request that an engine may have run. The peer is
+    /// `node`.
     pub fn unknown(code: FailureCode, step: &'static str, message: impl Into<String>) -> Self {
         Self {
             outcome: Outcome::Unknown,
@@ -124,19 +127,19 @@
         }
     }
 
-    /// The same, with this peer.
+    /// Replaces the peer.
     pub fn with_peer(mut self, peer: impl Into<String>) -> Self {
         self.peer = peer.into();
         self
     }
 
-    /// The same, with a time to come back in milliseconds.
+    /// Sets the delay before the caller should retry, in milliseconds.
     pub fn retry_after(mut self, milliseconds: u64) -> Self {
         self.retry_after_ms = Some(milliseconds);
         self
     }
 
-    /// The answer's field `error`.
+    /// Returns the content of the answer's `error` field.
     pub fn body(&self) -> Failure {
         Failure {
             code: self.code.word().to_owned(),
@@ -148,7 +151,7 @@
         }
     }
 
-    /// The whole answer, JSON.
+    /// Returns the whole response body as JSON: an object with one field, `error`.
     pub fn json(&self) -> String {
         serde_json::json!({ "error": self.body() }).to_string()
     }
--- a/crates/pinerill-node/src/gateway/admission.rs
+++ b/crates/pinerill-node/src/gateway/admission.rs
@@ -1,5 +1,5 @@
-//! Whether a request is taken: stop, key, configuration, service, body and
-//! limits, in this order.
+//! Admission of caller requests. An online request is checked in this order:
+//! draining, key and configuration, headers, body, service, tenant limits.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,15 +17,19 @@
 use crate::node::Node;
 use crate::online::{parse_request, OnlineRequest, RequestKind, RequestProblem};
 
-/// When to come back while the configuration is not confirmed, milliseconds.
+/// Suggested retry delay while the configuration is not confirmed, in
+/// milliseconds.
 const UNCONFIRMED_RETRY_MS: u64 = 1_000;
-/// When to come back to another node while this one stops, milliseconds.
+/// Suggested delay before a retry at another node while this one drains, in
+/// milliseconds.
 const DRAINING_RETRY_MS: u64 = 100;
-/// When to come back while too many requests are in flight, milliseconds.
+/// Suggested retry delay while the tenant has too many requests in flight, in
+/// milliseconds.
 const CONCURRENCY_RETRY_MS: u64 = 250;
 const ALL_PERCENT: u32 = 100;
 
-/// Counts of an admitted request, given back when dropped.
+/// Guard of an admitted request. Dropping it takes the request off the
+/// tenant's concurrency count and the in-flight count.
 #[derive(Debug)]
 pub struct Admitted {
     tenant: TenantName,
@@ -47,18 +51,18 @@
     }
 }
 
-/// Who calls, under which bundle.
+/// An authenticated caller and the configuration bundle that applies to it.
 #[derive(Debug, Clone)]
 pub struct Authenticated {
-    /// The bundle in force.
+    /// Configuration bundle in force when the key was checked.
     pub catalog: Arc<Catalog>,
-    /// Whose key it is.
+    /// Tenant that owns the caller's key.
     pub tenant: TenantName,
-    /// The bundle is confirmed.
+    /// Whether this node has confirmed that the bundle is in force.
     pub confirmed: bool,
 }
 
-/// The tenant of a caller.
+/// Finds the tenant that owns the caller's bearer key.
 ///
 /// # Errors
 /// `unauthorized`, or `configuration_unconfirmed` when the key might be in a
@@ -85,7 +89,8 @@
     }
 }
 
-/// The failure of a request that meets a bundle that is not confirmed.
+/// Returns the failure of a request that needs a confirmed bundle while this
+/// node has none.
 pub fn unconfirmed() -> RequestFailure {
     RequestFailure::not_run(
         FailureCode::ConfigurationUnconfirmed,
@@ -96,13 +101,14 @@
     .retry_after(UNCONFIRMED_RETRY_MS)
 }
 
-/// The failure of a request that meets a node that stops.
+/// Returns the failure of a request that arrives while this node drains.
 pub fn draining() -> RequestFailure {
     RequestFailure::not_run(FailureCode::Draining, "admit", "this node is stopping")
         .retry_after(DRAINING_RETRY_MS)
 }
 
-/// A service that the tenant may call under the bundle in force.
+/// Finds a service by name and checks that the tenant may call it. Without a
+/// confirmed bundle only services with `serve_when_cut_off` are found.
 ///
 /// # Errors
 /// `unknown_service`, `service_not_allowed` or `configuration_unconfirmed`.
@@ -112,8 +118,8 @@
 ) -> Result<Arc<ServicePlan>, RequestFailure> {
     let name = ServiceName::from(name);
     let plan = authenticated.catalog.service(&name);
-    let goes_on = plan.is_some_and(|plan| plan.settings.serve_when_cut_off);
-    if !authenticated.confirmed && !goes_on {
+    let serves_unconfirmed = plan.is_some_and(|plan| plan.settings.serve_when_cut_off);
+    if !authenticated.confirmed && !serves_unconfirmed {
         return Err(unconfirmed());
     }
     let Some(plan) = plan else {
@@ -130,7 +136,7 @@
     Ok(plan.clone())
 }
 
-/// The failure of a body that can't be read.
+/// Converts a problem in a request body to the failure for its caller.
 pub fn problem_failure(problem: &RequestProblem) -> RequestFailure {
     let code = match problem {
         RequestProblem::Json(_) => FailureCode::InvalidJson,
@@ -139,10 +145,10 @@
     RequestFailure::not_run(code, "read body", problem.to_string())
 }
 
-/// Takes an online request, or says why not.
+/// Admits an online request after all checks have passed.
 ///
 /// # Errors
-/// The failure that its caller gets.
+/// The failure to return to the caller.
 pub fn admit(
     node: &Arc<Node>,
     caller: &Caller,
@@ -164,7 +170,7 @@
     let request = OnlineRequest {
         id: id.to_owned(),
         kind,
-        to_script: goes_to_script(&plan),
+        to_script: sample_script_share(&plan),
         parsed,
         plan,
         tenant: authenticated.tenant,
@@ -211,7 +217,7 @@
     RequestFailure::not_run(code, "admit", message).retry_after(after)
 }
 
-fn goes_to_script(plan: &ServicePlan) -> bool {
+fn sample_script_share(plan: &ServicePlan) -> bool {
     let share = plan.settings.script.as_ref();
     let percent = share.map_or(0, |script| script.share_percent);
     percent > 0 && rand::random::<u32>() % ALL_PERCENT < percent
--- a/crates/pinerill-node/src/gateway/answer.rs
+++ b/crates/pinerill-node/src/gateway/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers as rocket sends them.
+//! Responses to callers, converted to Rocket responses.
 
 use std::io::Cursor;
 
@@ -10,13 +10,13 @@
 
 use crate::failure::{FailureCode, RequestFailure};
 
-/// Milliseconds in a second, for `Retry-After`.
+/// Milliseconds in a second; `Retry-After` is sent in whole seconds.
 const SECOND_MS: u64 = 1_000;
 
-/// A stream of encoded pieces of a body.
+/// A response body as a stream of encoded chunks.
 pub type BodyStream = std::pin::Pin<Box<dyn Stream<Item = String> + Send>>;
 
-/// What goes out.
+/// Body of a response; the variant decides content type and status.
 pub enum AnswerBody {
     /// One JSON body.
     Json(String),
@@ -24,20 +24,20 @@
     Events(BodyStream),
     /// JSON lines.
     Lines(BodyStream),
-    /// A failure.
+    /// JSON error body with the status of its error code.
     Failure(RequestFailure),
 }
 
-/// An answer with the request's identifier.
+/// Response to one request, with the request's identifier.
 pub struct Answer {
-    /// Goes out as `Pinerill-Request-Id`.
+    /// Value of the `Pinerill-Request-Id` response header.
     pub request_id: String,
-    /// The rest.
+    /// Body, from which status and content type follow.
     pub body: AnswerBody,
 }
 
 impl Answer {
-    /// A failure.
+    /// Creates a response that reports a failure.
     pub fn failure(request_id: impl Into<String>, failure: RequestFailure) -> Self {
         Self {
             request_id: request_id.into(),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// One JSON body.
+    /// Creates a successful response with one JSON body.
     pub fn json(request_id: impl Into<String>, body: String) -> Self {
         Self {
             request_id: request_id.into(),
@@ -83,7 +83,8 @@
     builder.status(Status::new(failure.code.status()));
     builder.header(ContentType::JSON);
     if failure.code == FailureCode::Draining {
-        // The next request of this caller must not meet a closing connection.
+        // Otherwise the caller's next request could be sent on a connection that
+        // this node is closing.
         builder.raw_header("Connection", "close");
     }
     if let Some(milliseconds) = failure.retry_after_ms {
--- a/crates/pinerill-node/src/gateway/batch_body.rs
+++ b/crates/pinerill-node/src/gateway/batch_body.rs
@@ -1,4 +1,4 @@
-//! Reads the head and body of a submitted batch.
+//! Reads the headers and body of a submitted batch.
 
 use std::time::Duration;
 
@@ -13,21 +13,21 @@
 use crate::jobs::{BatchLines, LineReader, NewJob, Reserved};
 use crate::node::Node;
 
-/// Time until a job should have ended when the caller does not say, seconds.
+/// Deadline of a job when the caller sets none, in seconds after submission.
 const DEADLINE_DEFAULT_SECONDS: u64 = 86_400;
-/// Bytes read from a caller at once.
-const READ_BYTES: usize = 64 * 1024;
-/// Longest silence of a caller who sends a body.
-const READ_SILENCE: Duration = Duration::from_secs(30);
+/// Size of the buffer for one read from a caller's connection.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// Longest wait for the next bytes of a body before the upload fails.
+const READ_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 const KIB: u64 = 1_024;
 const SECOND_MS: u64 = 1_000;
 const HOUR_MS: u64 = 3_600 * SECOND_MS;
 
-/// Reads a whole submission. The memory of its body stays reserved as long as
-/// the second part of the answer lives.
+/// Reads a whole submission. The memory for its body stays reserved until the
+/// returned `Reserved` is dropped.
 ///
 /// # Errors
-/// What the caller is told; nothing was sent to a group yet.
+/// The failure to return to the caller; nothing was sent to a group yet.
 pub async fn read_job(
     node: &Node,
     caller: &Caller,
@@ -58,20 +58,20 @@
 }
 
 fn idempotency_key(caller: &Caller) -> Result<String, RequestFailure> {
-    let refused = |message: String| {
+    let rejection = |message: String| {
         let code = FailureCode::MissingIdempotencyKey;
         RequestFailure::not_run(code, "read headers", message)
     };
     match caller.idempotency_key.as_deref() {
-        None | Some("") => Err(refused("Idempotency-Key: required".to_owned())),
-        Some(key) if key.len() > IDEMPOTENCY_KEY_LIMIT => Err(refused(format!(
+        None | Some("") => Err(rejection("Idempotency-Key: required".to_owned())),
+        Some(key) if key.len() > IDEMPOTENCY_KEY_LIMIT => Err(rejection(format!(
             "Idempotency-Key: at most {IDEMPOTENCY_KEY_LIMIT} bytes"
         ))),
         Some(key) => Ok(key.to_owned()),
     }
 }
 
-/// Checks each line as it arrives, so that a wrong one ends the upload early.
+/// Checks each line as it arrives, so that an invalid one ends the upload early.
 async fn read_lines(
     node: &Node,
     authenticated: &Authenticated,
@@ -81,10 +81,10 @@
     let mut body = data.open((limit + 1).bytes());
     let mut reserved = node.intake.start();
     let mut reader = LineReader::default();
-    let mut buffer = vec![0; READ_BYTES];
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
     let mut total = 0;
     loop {
-        let length = read_piece(&mut body, &mut buffer).await?;
+        let length = read_chunk(&mut body, &mut buffer).await?;
         if length == 0 {
             return Ok((reader.finish()?, reserved));
         }
@@ -100,16 +100,16 @@
     }
 }
 
-async fn read_piece(body: &mut DataStream<'_>, buffer: &mut [u8]) -> Result<usize, RequestFailure> {
-    let read = tokio::time::timeout(READ_SILENCE, body.read(buffer)).await;
-    let broken = |message: String| {
+async fn read_chunk(body: &mut DataStream<'_>, buffer: &mut [u8]) -> Result<usize, RequestFailure> {
+    let read = tokio::time::timeout(READ_IDLE_TIMEOUT, body.read(buffer)).await;
+    let read_failure = |message: String| {
         RequestFailure::not_run(FailureCode::InvalidRequest, "read body", message)
             .with_peer("caller")
     };
     match read {
         Ok(Ok(length)) => Ok(length),
-        Ok(Err(error)) => Err(broken(error.to_string())),
-        Err(_) => Err(broken("the caller is silent".to_owned())),
+        Ok(Err(error)) => Err(read_failure(error.to_string())),
+        Err(_) => Err(read_failure("the caller is silent".to_owned())),
     }
 }
 
--- a/crates/pinerill-node/src/gateway/batches.rs
+++ b/crates/pinerill-node/src/gateway/batches.rs
@@ -17,14 +17,14 @@
 use crate::jobs::{job_json, result_line, JobsClient};
 use crate::node::Node;
 
-/// Jobs in a list when the caller does not say.
+/// Jobs in a list when the caller sends no `limit`.
 const LIST_DEFAULT: u32 = 20;
-/// Most jobs in a list.
+/// Maximum number of jobs in a list; a larger `limit` is lowered to this.
 const LIST_LIMIT: u32 = 100;
-/// Items of one page of results.
+/// Maximum number of items in one page of results.
 const PAGE_ITEMS: u32 = 64;
-/// Pages that may fail before a stream of results ends, one after the other.
-const PAGE_TRIES: u32 = 3;
+/// Attempts to read one page of results before the stream ends with a failure.
+const PAGE_ATTEMPTS: u32 = 3;
 
 /// `POST /v1/batches`
 #[post("/v1/batches", data = "<data>")]
@@ -43,7 +43,7 @@
     caller: &Caller,
     data: Data<'_>,
 ) -> Result<serde_json::Value, RequestFailure> {
-    let entered = enter(node, caller)?;
+    let entered = admit_call(node, caller)?;
     let (job, _reserved) = read_job(node, caller, &entered.authenticated, data).await?;
     let accepted = node.jobs.submit(&job).await?;
     Ok(job_json(&accepted))
@@ -54,7 +54,7 @@
 pub async fn list(node: &State<Arc<Node>>, caller: Caller, limit: Option<u32>) -> Answer {
     let id = caller.identifier();
     let limit = limit.unwrap_or(LIST_DEFAULT).clamp(1, LIST_LIMIT);
-    let listed = match enter(node, &caller) {
+    let listed = match admit_call(node, &caller) {
         Ok(entered) => node.jobs.list(entered.tenant(), limit).await,
         Err(failure) => Err(failure),
     };
@@ -69,7 +69,7 @@
 #[get("/v1/batches/<job>")]
 pub async fn status(node: &State<Arc<Node>>, caller: Caller, job: &str) -> Answer {
     let id = caller.identifier();
-    let found = match enter_job(node, &caller, job) {
+    let found = match admit_job_call(node, &caller, job) {
         Ok((entered, job)) => node.jobs.status(entered.tenant(), job).await,
         Err(failure) => Err(failure),
     };
@@ -80,7 +80,7 @@
 #[post("/v1/batches/<job>/cancel")]
 pub async fn cancel(node: &State<Arc<Node>>, caller: Caller, job: &str) -> Answer {
     let id = caller.identifier();
-    let cancelled = match enter_job(node, &caller, job) {
+    let cancelled = match admit_job_call(node, &caller, job) {
         Ok((entered, job)) => node.jobs.cancel(entered.tenant(), job).await,
         Err(failure) => Err(failure),
     };
@@ -107,37 +107,37 @@
     }
 }
 
-/// A call about jobs that was let in.
-struct Entered {
+/// An admitted call about jobs; it counts as in flight until dropped.
+struct AdmittedCall {
     authenticated: Authenticated,
     _in_flight: InFlight,
 }
 
-impl Entered {
+impl AdmittedCall {
     fn tenant(&self) -> &TenantName {
         &self.authenticated.tenant
     }
 }
 
-fn enter(node: &Arc<Node>, caller: &Caller) -> Result<Entered, RequestFailure> {
+fn admit_call(node: &Arc<Node>, caller: &Caller) -> Result<AdmittedCall, RequestFailure> {
     let in_flight = node.drain.enter().ok_or_else(draining)?;
     let authenticated = authenticate(node, caller)?;
     if !authenticated.confirmed {
         return Err(unconfirmed());
     }
     caller.check_identifier()?;
-    Ok(Entered {
+    Ok(AdmittedCall {
         authenticated,
         _in_flight: in_flight,
     })
 }
 
-fn enter_job(
+fn admit_job_call(
     node: &Arc<Node>,
     caller: &Caller,
     job: &str,
-) -> Result<(Entered, JobId), RequestFailure> {
-    let entered = enter(node, caller)?;
+) -> Result<(AdmittedCall, JobId), RequestFailure> {
+    let entered = admit_call(node, caller)?;
     let job = job.parse().map_err(|error| {
         let message = format!("{error}");
         RequestFailure::not_run(FailureCode::UnknownJob, "find job", message)
@@ -145,14 +145,15 @@
     Ok((entered, job))
 }
 
-/// The first page decides the status; what fails later ends the stream with a
-/// line that holds only an `error`.
+/// Opens the stream of a job's results. A failure up to the first page sets the
+/// HTTP status; a later one ends the stream with a line that holds only an
+/// `error`.
 async fn open_output(
     node: &Arc<Node>,
     caller: &Caller,
     job: &str,
 ) -> Result<BodyStream, RequestFailure> {
-    let (entered, job) = enter_job(node, caller, job)?;
+    let (entered, job) = admit_job_call(node, caller, job)?;
     let status = node.jobs.status(entered.tenant(), job).await?;
     let mut reader = OutputReader {
         jobs: node.jobs.clone(),
@@ -166,9 +167,9 @@
     Ok(Box::pin(futures::stream::unfold(state, next_lines)))
 }
 
-type OutputState = Option<(OutputReader, Option<JobOutputResponse>)>;
+type OutputStreamState = Option<(OutputReader, Option<JobOutputResponse>)>;
 
-async fn next_lines(state: OutputState) -> Option<(String, OutputState)> {
+async fn next_lines(state: OutputStreamState) -> Option<(String, OutputStreamState)> {
     let (mut reader, page) = state?;
     let page = match page {
         Some(page) => Ok(page),
@@ -184,10 +185,10 @@
     }
 }
 
-/// Reads a job's results page by page, so that one page is in memory.
+/// Reads a job's results page by page, so that only one page is in memory.
 struct OutputReader {
     jobs: JobsClient,
-    entered: Entered,
+    entered: AdmittedCall,
     job: JobId,
     next_index: u32,
     total: u32,
@@ -196,13 +197,13 @@
 impl OutputReader {
     async fn page(&mut self) -> Result<JobOutputResponse, RequestFailure> {
         let tenant = self.entered.tenant();
-        let mut tries = 1;
+        let mut attempts = 1;
         let page = loop {
             let next = self
                 .jobs
                 .output(tenant, self.job, self.next_index, PAGE_ITEMS);
             match next.await {
-                Err(failure) if tries < PAGE_TRIES && may_come_back(&failure) => tries += 1,
+                Err(failure) if attempts < PAGE_ATTEMPTS && is_retryable(&failure) => attempts += 1,
                 page => break page?,
             }
         };
@@ -214,7 +215,7 @@
     }
 }
 
-fn may_come_back(failure: &RequestFailure) -> bool {
+fn is_retryable(failure: &RequestFailure) -> bool {
     failure.code == FailureCode::ControlUnavailable
 }
 
--- a/crates/pinerill-node/src/gateway/caller.rs
+++ b/crates/pinerill-node/src/gateway/caller.rs
@@ -1,4 +1,4 @@
-//! What a request's head says about its caller.
+//! Reads the request headers that identify a caller and set its options.
 
 use std::net::SocketAddr;
 
@@ -7,21 +7,22 @@
 
 use crate::failure::{FailureCode, RequestFailure};
 
-/// Bytes of a generated identifier.
+/// Random bytes in a generated request identifier, which is their hex form.
 const IDENTIFIER_BYTES: usize = 16;
 
-/// Headers that pinerill reads; reading them never fails.
+/// Request headers that Pinerill uses. Extracting them never fails; their
+/// values are checked by the methods.
 #[derive(Debug, Clone)]
 pub struct Caller {
     key: Option<String>,
     request_id: Option<String>,
     at_most_once: Option<String>,
     deadline_ms: Option<String>,
-    /// `Idempotency-Key`.
+    /// `Idempotency-Key` header as sent.
     pub idempotency_key: Option<String>,
-    /// `Pinerill-Deadline-Seconds`.
+    /// `Pinerill-Deadline-Seconds` header as sent.
     pub deadline_seconds: Option<String>,
-    /// Where it connects from.
+    /// Remote address of the connection; None when Rocket doesn't know it.
     pub remote: Option<SocketAddr>,
 }
 
@@ -49,22 +50,23 @@
 }
 
 impl Caller {
-    /// The bearer key.
+    /// Returns the bearer key, or None when there is no `Authorization: Bearer`
+    /// header.
     pub fn key(&self) -> Option<&str> {
         self.key.as_deref()
     }
 
-    /// The caller's identifier, or a new one. One that is not a name is not
-    /// used.
+    /// Returns the request identifier that the caller sent, or a generated one
+    /// when it sent none or one that is not a valid name.
     pub fn identifier(&self) -> String {
         let given = self.request_id.as_ref().filter(|id| is_name(id));
-        given.cloned().unwrap_or_else(new_identifier)
+        given.cloned().unwrap_or_else(generate_identifier)
     }
 
-    /// Checks the identifier.
+    /// Checks the request identifier that the caller sent, if any.
     ///
     /// # Errors
-    /// `invalid_request` when it is not a name.
+    /// `invalid_request` when it is not a valid name.
     pub fn check_identifier(&self) -> Result<(), RequestFailure> {
         match &self.request_id {
             Some(id) if !is_name(id) => Err(invalid(
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Whether the request is not to be repeated.
+    /// Whether the caller demands that the request runs at most once.
     ///
     /// # Errors
     /// `invalid_request` for anything but `true` and `false`.
@@ -86,7 +88,7 @@
         }
     }
 
-    /// The caller's deadline, milliseconds.
+    /// Returns the deadline that the caller sent, in milliseconds, or None.
     ///
     /// # Errors
     /// `invalid_request` when it is not a number above 0.
@@ -95,10 +97,11 @@
     }
 }
 
-/// Reads a header with a number above 0.
+/// Parses a header value that must be a whole number above 0. Returns None
+/// when the header is absent.
 ///
 /// # Errors
-/// `invalid_request` that names the header.
+/// `invalid_request`, with the header's name in the message.
 pub fn parse_positive(value: Option<&str>, header: &str) -> Result<Option<u64>, RequestFailure> {
     let Some(text) = value else {
         return Ok(None);
@@ -113,7 +116,7 @@
     RequestFailure::not_run(FailureCode::InvalidRequest, "read headers", message)
 }
 
-fn new_identifier() -> String {
+fn generate_identifier() -> String {
     let bytes: [u8; IDENTIFIER_BYTES] = rand::random();
     hex::encode(bytes)
 }
--- a/crates/pinerill-node/src/gateway/disconnect.rs
+++ b/crates/pinerill-node/src/gateway/disconnect.rs
@@ -1,10 +1,10 @@
-//! Sees callers who go away while they wait.
+//! Detects callers that disconnect while they wait for an answer.
 //!
-//! Rocket tells a handler nothing about its connection, and a stream only
-//! when it writes the next piece. While requests wait, this reads the
-//! system's table of TCP connections a few times a second and looks for those
-//! that the caller has closed. Where there is no such table (`/proc`), a
-//! caller who went is seen at the next piece of its answer.
+//! Rocket doesn't notify a handler when its connection closes, and a response
+//! stream notices only when it writes the next chunk. While requests wait, this
+//! module therefore polls the system's table of TCP connections in `/proc` a few
+//! times a second for connections that the caller has closed. On a system
+//! without that table, a disconnect is noticed at the next chunk of the answer.
 
 use std::collections::{HashMap, HashSet};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
@@ -14,21 +14,21 @@
 use parking_lot::Mutex;
 use tokio_util::sync::CancellationToken;
 
-/// Pause between two looks.
-const LOOK_PAUSE: Duration = Duration::from_millis(200);
-/// State of a connection that both sides keep open, as the table writes it.
+/// Pause between two reads of the connection table.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// State of an established connection, as the table writes it.
 const ESTABLISHED: &str = "01";
 const TABLE_V4: &str = "/proc/self/net/tcp";
 const TABLE_V6: &str = "/proc/self/net/tcp6";
 
-/// Callers whose requests wait.
+/// Tracks the callers that wait for an answer and signals their disconnects.
 #[derive(Debug)]
 pub struct Disconnects {
     listen: SocketAddr,
     waiting: Mutex<HashMap<SocketAddr, CancellationToken>>,
 }
 
-/// Watches one caller until dropped.
+/// Watch on one caller's connection, which ends when dropped.
 #[derive(Debug)]
 pub struct DisconnectWatch {
     disconnects: Arc<Disconnects>,
@@ -37,8 +37,9 @@
 }
 
 impl DisconnectWatch {
-    /// Completes when the caller has gone.
-    pub async fn gone(&self) {
+    /// Completes when the caller has disconnected; never, if its address is
+    /// unknown.
+    pub async fn disconnected(&self) {
         self.token.cancelled().await;
     }
 }
@@ -52,7 +53,7 @@
 }
 
 impl Disconnects {
-    /// For callers who connect to `listen`.
+    /// Creates a tracker for callers that connect to the address `listen`.
     pub fn new(listen: SocketAddr) -> Self {
         Self {
             listen,
@@ -60,7 +61,8 @@
         }
     }
 
-    /// Watches the caller at `remote`; one connection has one request.
+    /// Starts to watch the caller at `remote`. A connection carries one request at
+    /// a time, so the address identifies the request.
     pub fn watch(self: &Arc<Self>, remote: Option<SocketAddr>) -> DisconnectWatch {
         let token = CancellationToken::new();
         if let Some(remote) = remote {
@@ -73,21 +75,22 @@
         }
     }
 
-    /// Looks until the task is dropped.
+    /// Polls the connection table until the task is dropped. Only callers that
+    /// already waited at the previous poll are checked.
     pub async fn run(self: Arc<Self>) {
-        let mut seen: HashSet<SocketAddr> = HashSet::new();
+        let mut previous: HashSet<SocketAddr> = HashSet::new();
         loop {
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             let waiting: HashSet<SocketAddr> = self.waiting.lock().keys().copied().collect();
-            let long: Vec<SocketAddr> = waiting.intersection(&seen).copied().collect();
-            if !long.is_empty() {
-                self.look(&long).await;
+            let still_waiting: Vec<SocketAddr> = waiting.intersection(&previous).copied().collect();
+            if !still_waiting.is_empty() {
+                self.cancel_closed(&still_waiting).await;
             }
-            seen = waiting;
+            previous = waiting;
         }
     }
 
-    async fn look(&self, callers: &[SocketAddr]) {
+    async fn cancel_closed(&self, callers: &[SocketAddr]) {
         let path = if self.listen.is_ipv4() {
             TABLE_V4
         } else {
@@ -106,8 +109,8 @@
     }
 }
 
-/// The remote sides of established connections to a local port, from the text
-/// of the table.
+/// Parses the text of the connection table and returns the remote addresses of
+/// established connections to `local_port`. Malformed rows are skipped.
 pub fn open_connections(table: &str, local_port: u16) -> HashSet<SocketAddr> {
     let rows = table.lines().skip(1);
     rows.filter_map(|row| {
@@ -120,7 +123,8 @@
     .collect()
 }
 
-/// `0100007F:1F90`: the address in words of the machine's byte order.
+/// Parses an address such as `0100007F:1F90`: hexadecimal 32-bit words in the
+/// machine's byte order, then the port. Returns None when it is malformed.
 fn parse_address(text: &str) -> Option<SocketAddr> {
     let (address, port) = text.split_once(':')?;
     let port = u16::from_str_radix(port, 16).ok()?;
--- a/crates/pinerill-node/src/gateway/mod.rs
+++ b/crates/pinerill-node/src/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' side: HTTP by rocket.
+//! HTTP interface for callers, built on Rocket: online requests and batch jobs.
 
 mod admission;
 mod answer;
--- a/crates/pinerill-node/src/gateway/online.rs
+++ b/crates/pinerill-node/src/gateway/online.rs
@@ -45,7 +45,7 @@
     Answer::json(id, body.to_string())
 }
 
-/// Reads a body of at most `limit_kib`.
+/// Reads a request body of at most `limit_kib` KiB.
 ///
 /// # Errors
 /// `body_too_large`, or `invalid_request` when the caller's connection broke.
@@ -98,8 +98,8 @@
     }
 }
 
-/// Reads an execution's events; dropping it tells the execution that the
-/// caller has gone.
+/// Reads the events of an execution. Dropping the reader closes the channel,
+/// which signals the execution that the caller has disconnected.
 struct EventReader {
     events: mpsc::Receiver<Event>,
     disconnect: DisconnectWatch,
@@ -108,12 +108,13 @@
 }
 
 impl EventReader {
-    /// The next event, with text that is there already joined to it.
+    /// Returns the next event, or None when the caller has disconnected or the
+    /// execution sends no more events.
     async fn next(&mut self) -> Option<Event> {
         tokio::select! {
             biased;
             event = self.events.recv() => event,
-            () = self.disconnect.gone() => None,
+            () = self.disconnect.disconnected() => None,
         }
     }
 
@@ -126,16 +127,17 @@
                     return Answer::json(id, self.encoder.whole(&whole, &finish));
                 }
                 Some(Event::Failed(failure)) => return Answer::failure(id, failure),
-                None => return Answer::failure(id, caller_gone()),
+                None => return Answer::failure(id, caller_disconnected()),
             }
         }
     }
 
-    /// A failure before the first text still gets its status.
+    /// Streams the answer as server-sent events. A failure before the first text
+    /// is still returned with its own HTTP status.
     async fn answer_stream(mut self, id: String) -> Answer {
         let first = match self.next().await {
             Some(Event::Failed(failure)) => return Answer::failure(id, failure),
-            None => return Answer::failure(id, caller_gone()),
+            None => return Answer::failure(id, caller_disconnected()),
             Some(event) => event,
         };
         let body: BodyStream = Box::pin(futures::stream::unfold(
@@ -156,7 +158,8 @@
         }
     }
 
-    /// Encodes an event and all that wait behind it.
+    /// Encodes an event together with all events already in the channel, as one
+    /// chunk. The flag is true when the chunk ends the stream.
     fn encode(&mut self, event: Event) -> (String, bool) {
         let mut text = match event {
             Event::Text(text) => text,
@@ -188,6 +191,6 @@
     }
 }
 
-fn caller_gone() -> RequestFailure {
+fn caller_disconnected() -> RequestFailure {
     RequestFailure::unknown(FailureCode::Internal, "answer", "the caller has gone")
 }
--- a/crates/pinerill-node/src/gateway/server.rs
+++ b/crates/pinerill-node/src/gateway/server.rs
@@ -1,4 +1,4 @@
-//! The server for callers.
+//! Builds the HTTP server that callers connect to.
 
 use std::sync::Arc;
 
@@ -12,7 +12,8 @@
 use crate::failure::{FailureCode, RequestFailure};
 use crate::node::Node;
 
-/// The server for callers.
+/// Returns the server with all caller routes, on the address in
+/// `settings.listen`. It is not started yet.
 pub fn caller_server(node: Arc<Node>) -> Rocket<Build> {
     rocket::custom(server_settings(node.settings.listen))
         .manage(node)
