--- a/crates/pinerill-node/src/configuration/watch.rs
+++ b/crates/pinerill-node/src/configuration/watch.rs
@@ -144,7 +144,7 @@
         if let Some(update) = &watch.directory {
             self.fleet.apply_directory_update(update);
             self.api.learn_groups(&update.groups);
-            self.groups.take(update);
+            self.groups.apply(update);
         }
         if watch.confirmed {
             self.groups.confirm();
--- a/crates/pinerill-node/src/gateway/batch_body.rs
+++ b/crates/pinerill-node/src/gateway/batch_body.rs
@@ -10,7 +10,7 @@
 use super::caller::{parse_positive, Caller};
 use crate::clock;
 use crate::failure::{FailureCode, RequestFailure};
-use crate::jobs::{BatchLines, LineReader, NewJob, Reserved};
+use crate::jobs::{BatchLines, BodyReservation, LineReader, NewJob};
 use crate::node::Node;
 
 /// Time until a job should have ended when the caller does not say, seconds.
@@ -33,7 +33,7 @@
     caller: &Caller,
     authenticated: &Authenticated,
     data: Data<'_>,
-) -> Result<(NewJob, Reserved), RequestFailure> {
+) -> Result<(NewJob, BodyReservation), RequestFailure> {
     let idempotency_key = idempotency_key(caller)?;
     let header = "Pinerill-Deadline-Seconds";
     let deadline = parse_positive(caller.deadline_seconds.as_deref(), header)?;
@@ -76,7 +76,7 @@
     node: &Node,
     authenticated: &Authenticated,
     data: Data<'_>,
-) -> Result<(BatchLines, Reserved), RequestFailure> {
+) -> Result<(BatchLines, BodyReservation), RequestFailure> {
     let limit = node.settings.batch_limit_kib * KIB;
     let mut body = data.open((limit + 1).bytes());
     let mut reserved = node.intake.start();
--- a/crates/pinerill-node/src/groups.rs
+++ b/crates/pinerill-node/src/groups.rs
@@ -24,7 +24,7 @@
 
 impl Groups {
     /// Takes the changed groups of a watch in.
-    pub fn take(&self, update: &DirectoryUpdate) {
+    pub fn apply(&self, update: &DirectoryUpdate) {
         let mut records = self.records.write();
         if update.full {
             records.clear();
--- a/crates/pinerill-node/src/jobs/memory.rs
+++ b/crates/pinerill-node/src/jobs/memory.rs
@@ -26,7 +26,7 @@
 
 /// What one body uses of the budget; given back when dropped.
 #[derive(Debug)]
-pub struct Reserved {
+pub struct BodyReservation {
     units: Arc<Semaphore>,
     held: Option<OwnedSemaphorePermit>,
     bytes: usize,
@@ -42,8 +42,8 @@
     }
 
     /// A body of which nothing has arrived.
-    pub fn start(&self) -> Reserved {
-        Reserved {
+    pub fn start(&self) -> BodyReservation {
+        BodyReservation {
             units: self.units.clone(),
             held: None,
             bytes: 0,
@@ -56,7 +56,7 @@
     }
 }
 
-impl Reserved {
+impl BodyReservation {
     /// The body has grown by `bytes`.
     ///
     /// # Errors
--- a/crates/pinerill-node/src/jobs/mod.rs
+++ b/crates/pinerill-node/src/jobs/mod.rs
@@ -9,6 +9,6 @@
 
 pub use client::JobsClient;
 pub use lines::{BatchLines, LineProblem, LineReader};
-pub use memory::{IntakeMemory, Reserved};
+pub use memory::{BodyReservation, IntakeMemory};
 pub use submit::{next_part, NewJob, PART_BYTES_LIMIT, PART_ITEMS_LIMIT};
 pub use view::{job_json, result_line};
--- a/crates/pinerill-node/tests/groups.rs
+++ b/crates/pinerill-node/tests/groups.rs
@@ -30,7 +30,7 @@
 fn a_key_keeps_its_group_when_an_update_lists_only_some_groups() {
     let groups = Groups::default();
     let tenant = "crew".into();
-    groups.take(&directory_update(&[0, 1, 2, 3, 4, 5, 6, 7, 8]));
+    groups.apply(&directory_update(&[0, 1, 2, 3, 4, 5, 6, 7, 8]));
     assert_eq!(groups.group_of(&tenant, "key"), None, "not confirmed yet");
     groups.confirm();
     let before: Vec<_> = (0..50)
@@ -38,7 +38,7 @@
         .collect();
     assert!(before.iter().all(Option::is_some));
     for partial in [&[0, 1, 2][..], &[0, 1, 2, 9]] {
-        groups.take(&directory_update(partial));
+        groups.apply(&directory_update(partial));
         groups.confirm();
         let after: Vec<_> = (0..50)
             .map(|key| groups.group_of(&tenant, &key.to_string()))
