--- a/crates/pinerill-node/src/clock.rs
+++ b/crates/pinerill-node/src/clock.rs
@@ -1,19 +1,20 @@
-//! The two clocks of the process. Pure parts never read them: a shell reads
-//! one and passes the value in.
+//! Monotonic and wall clock of the process. Decision logic never reads a clock: the I/O
+//! code around it reads one and passes the value as an argument.
 
 use std::sync::OnceLock;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use pinerill_process::clock::BootTime;
 
-/// Milliseconds since the process first asked, also while the machine is suspended; never
-/// goes back.
+/// Returns the milliseconds since the first call in this process. Monotonic; time
+/// during which the machine is suspended counts.
 pub fn now_ms() -> u64 {
     static START: OnceLock<BootTime> = OnceLock::new();
     START.get_or_init(BootTime::now).elapsed().as_millis() as u64
 }
 
-/// Milliseconds since the Unix epoch.
+/// Returns the milliseconds since the Unix epoch, or 0 if the system clock is set
+/// before it.
 pub fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/pinerill-node/src/gauges.rs
+++ b/crates/pinerill-node/src/gauges.rs
@@ -1,4 +1,5 @@
-//! Gauges that are read from the node's state when operators ask for them.
+//! Updates the gauges that are computed from the node's state each time the metrics are
+//! exported or logged.
 
 use std::sync::atomic::Ordering;
 
@@ -9,7 +10,7 @@
 use crate::membership::Worker;
 use crate::node::Node;
 
-/// Sets the gauges of `node` to what holds now.
+/// Updates the lease, worker and control-link metrics of `node` from its current state.
 pub fn refresh(node: &Node) {
     let metrics = &node.metrics;
     let now_ms = clock::now_ms();
@@ -27,7 +28,7 @@
             .set(count as i64);
     }
     if let Some(link) = &node.link {
-        take_link(link, &metrics.control_bytes);
+        update_link_counters(link, &metrics.control_bytes);
     }
 }
 
@@ -44,8 +45,9 @@
     }
 }
 
-/// The link counts from its start, as the counters do.
-fn take_link(link: &LinkCounters, bytes: &IntCounterVec) {
+/// Raises the exported byte counters to the totals of the link. Both start at 0 with
+/// the process, so the difference is the increment.
+fn update_link_counters(link: &LinkCounters, bytes: &IntCounterVec) {
     let totals = [
         ("out", link.bytes_out.load(Ordering::Relaxed)),
         ("in", link.bytes_in.load(Ordering::Relaxed)),
--- a/crates/pinerill-node/src/groups.rs
+++ b/crates/pinerill-node/src/groups.rs
@@ -1,4 +1,5 @@
-//! The replicated groups as the last watch told them.
+//! Known state of the replicated groups, as received from the control machines through
+//! the watch.
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -11,19 +12,20 @@
 
 use crate::routing::rendezvous_weight;
 
-/// All groups with their backlogs.
+/// The latest received record of every group, with its backlog.
 #[derive(Debug, Default)]
 pub struct Groups {
     records: RwLock<BTreeMap<u32, GroupRecord>>,
-    /// How many job groups there are. It never shrinks, since a key must
-    /// always lead to the same group.
+    /// Number of job groups; 0 until a complete list is confirmed. Never decreases, because
+    /// an idempotency key must always map to the same group.
     job_groups: AtomicU32,
-    /// Other records are there; one task waits for them.
+    /// Notified after every update of the records. Only one task may wait on it.
     pub changed: Notify,
 }
 
 impl Groups {
-    /// Takes the changed groups of a watch in.
+    /// Applies a directory update: a full update replaces all records, any other one
+    /// replaces the records of the groups it contains.
     pub fn apply(&self, update: &DirectoryUpdate) {
         let mut records = self.records.write();
         if update.full {
@@ -36,9 +38,10 @@
         self.changed.notify_one();
     }
 
-    /// The watch was confirmed: what it told so far says how many job groups
-    /// there are, if it has no gap. A list with some missing would send a job
-    /// to another group than its first self, and it would run twice.
+    /// Called when the watch has confirmed the received updates. Sets the number of job
+    /// groups from the known records, provided that their numbers have no gap. With an
+    /// incomplete list, a resubmitted job would map to another group than its first
+    /// submission and run twice.
     pub fn confirm(&self) {
         let records = self.records.read();
         let highest = records.keys().last().copied().unwrap_or(META_GROUP);
@@ -48,12 +51,14 @@
         }
     }
 
-    /// Numbers of the job groups.
+    /// Returns the numbers of the job groups; empty until a complete list is confirmed.
     pub fn job_groups(&self) -> RangeInclusive<u32> {
         META_GROUP + 1..=self.job_groups.load(Ordering::Relaxed)
     }
 
-    /// The group of a job. Job groups are numbered from 1 without a gap.
+    /// Returns the group that a job is assigned to by the hash of tenant and idempotency
+    /// key, or `None` while the number of job groups is unknown. Job groups are numbered
+    /// from 1 without a gap.
     pub fn group_of(&self, tenant: &TenantName, idempotency_key: &str) -> Option<u32> {
         let count = u64::from(self.job_groups.load(Ordering::Relaxed));
         if count == 0 {
@@ -63,7 +68,8 @@
         Some(1 + (hash % count) as u32)
     }
 
-    /// Items that wait, by service and group.
+    /// Returns the number of pending items by service and group; services and groups
+    /// without pending items are omitted.
     pub fn backlog(&self) -> BTreeMap<ServiceName, BTreeMap<u32, u64>> {
         let mut backlog: BTreeMap<ServiceName, BTreeMap<u32, u64>> = BTreeMap::new();
         for record in self.records.read().values() {
--- a/crates/pinerill-node/src/jobs/client.rs
+++ b/crates/pinerill-node/src/jobs/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the job groups on behalf of callers.
+//! Client that calls the job groups on behalf of callers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,16 +15,16 @@
 use crate::failure::{FailureCode, RequestFailure};
 use crate::groups::Groups;
 
-/// Longest wait for one answer of a group.
+/// Timeout of one call to a job group.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// When to come back after a group did not answer, milliseconds.
+/// Retry delay sent to the caller after a group did not answer, in milliseconds.
 const UNAVAILABLE_RETRY_MS: u64 = 1_000;
-/// When to come back with too many open items, milliseconds.
+/// Default retry delay sent to a tenant with too many open items, in milliseconds.
 const OPEN_ITEMS_RETRY_MS: u64 = 30_000;
-/// Groups that are asked at once for their part of a list.
-const LISTS_AT_ONCE: usize = 8;
+/// Maximum number of concurrent calls to groups while a list is collected.
+const CONCURRENT_LIST_CALLS: usize = 8;
 
-/// Job groups as callers' requests use them.
+/// Submits, reads, lists and cancels jobs in the job groups.
 #[derive(Clone)]
 pub struct JobsClient {
     api: Arc<dyn ControlApi>,
@@ -32,12 +32,13 @@
 }
 
 impl JobsClient {
-    /// Calls through `api` to the groups that the watch tells of.
+    /// Creates a client that calls the known `groups` through `api`.
     pub fn new(api: Arc<dyn ControlApi>, groups: Arc<Groups>) -> Self {
         Self { api, groups }
     }
 
-    /// The group of a job: always the same for tenant and key.
+    /// Returns the group of a job, always the same for one tenant and key. Fails with
+    /// `control_unavailable` while the groups are unknown.
     pub(super) fn group_of(
         &self,
         tenant: &TenantName,
@@ -47,7 +48,7 @@
         group.ok_or_else(no_groups)
     }
 
-    /// A job as it is now.
+    /// Returns the current status of a job.
     ///
     /// # Errors
     /// `unknown_job`, or `control_unavailable`.
@@ -65,7 +66,8 @@
     /// Cancels a job.
     ///
     /// # Errors
-    /// `unknown_job`, or `control_unavailable`; it may then be cancelled.
+    /// `unknown_job`, or `control_unavailable`; after the latter the job may have been
+    /// cancelled.
     pub async fn cancel(
         &self,
         tenant: &TenantName,
@@ -85,11 +87,11 @@
     ) -> Result<JobStatus, RequestFailure> {
         match self.call(job.group, request, step, CALL_TIMEOUT).await? {
             Response::JobStatus(status) => Ok(status),
-            _ => Err(unfit(step)),
+            _ => Err(unexpected_response(step)),
         }
     }
 
-    /// One page of a job's results.
+    /// Returns one page of a job's results: up to `limit`, from item `first_index` on.
     ///
     /// # Errors
     /// `unknown_job`, or `control_unavailable`.
@@ -109,15 +111,15 @@
         });
         match self.call(job.group, request, step, CALL_TIMEOUT).await? {
             Response::JobOutput(page) => Ok(page),
-            _ => Err(unfit(step)),
+            _ => Err(unexpected_response(step)),
         }
     }
 
-    /// The tenant's newest jobs of all groups.
+    /// Returns the tenant's newest jobs across all groups, newest first, at most `limit`.
     ///
     /// # Errors
-    /// `control_unavailable` when a group does not answer: a list with holes
-    /// would look like lost jobs.
+    /// `control_unavailable` if any group does not answer: in an incomplete list, the
+    /// missing jobs would appear to be lost.
     pub async fn list(
         &self,
         tenant: &TenantName,
@@ -127,7 +129,7 @@
         let groups = self.groups.job_groups();
         let lists = stream::iter(groups)
             .map(|group| self.list_group(group, tenant, limit))
-            .buffer_unordered(LISTS_AT_ONCE);
+            .buffer_unordered(CONCURRENT_LIST_CALLS);
         let mut jobs: Vec<JobStatus> = lists.try_concat().await?;
         jobs.sort_by_key(|job| (std::cmp::Reverse(job.created_ms), job.id));
         jobs.truncate(limit as usize);
@@ -148,7 +150,7 @@
         });
         match self.call(group, request, step, CALL_TIMEOUT).await? {
             Response::ListJobs(list) => Ok(list.jobs),
-            _ => Err(unfit(step)),
+            _ => Err(unexpected_response(step)),
         }
     }
 
@@ -168,12 +170,13 @@
     }
 }
 
-/// What a caller is told of a failed call. The call may have gone to several
-/// machines, and an earlier one may have carried it out; so only a refusal on
-/// the merits says that it was not.
+/// Converts a failed call into the failure returned to the caller. The call may have
+/// reached several machines, and an earlier one may have executed it. Only a refusal
+/// that concerns the request itself, such as a conflict or an exceeded limit, proves
+/// that it was not executed.
 fn call_failure(step: &'static str, error: CallError) -> RequestFailure {
     let (code, outcome, after) = match &error.kind {
-        CallErrorKind::Refused(refusal) => judge_refusal(refusal.code, refusal.retry_after_ms),
+        CallErrorKind::Refused(refusal) => map_refusal(refusal.code, refusal.retry_after_ms),
         CallErrorKind::NotSent | CallErrorKind::Unknown => unavailable(),
     };
     RequestFailure {
@@ -186,7 +189,7 @@
     }
 }
 
-fn judge_refusal(
+fn map_refusal(
     code: RefusalCode,
     retry_after_ms: Option<u64>,
 ) -> (FailureCode, Outcome, Option<u64>) {
@@ -226,8 +229,8 @@
         .retry_after(UNAVAILABLE_RETRY_MS)
 }
 
-/// The failure of an answer of another kind.
-pub(super) fn unfit(step: &'static str) -> RequestFailure {
+/// Returns the failure for a response whose type does not match the request.
+pub(super) fn unexpected_response(step: &'static str) -> RequestFailure {
     let message = "an answer of another kind";
     RequestFailure::unknown(FailureCode::ControlUnavailable, step, message).with_peer("control")
 }
--- a/crates/pinerill-node/src/jobs/lines.rs
+++ b/crates/pinerill-node/src/jobs/lines.rs
@@ -1,7 +1,7 @@
-//! Reads the JSON lines of a batch as they arrive, and checks each. Pure.
+//! Parses and validates the JSON lines of a batch body as they arrive. Does no I/O.
 //!
-//! A problem names its line, counted from 1. The digest covers the raw bytes,
-//! so the same body again has the same digest.
+//! A problem carries its line number, counted from 1. The digest covers the raw bytes,
+//! so a resubmitted body has the same digest.
 
 use std::borrow::Cow;
 
@@ -15,24 +15,24 @@
 use crate::failure::{FailureCode, RequestFailure};
 use crate::online::{parse_request, RequestKind, RequestProblem};
 
-/// Longest `custom_id`, in bytes.
+/// Maximum length of a `custom_id`, in bytes.
 pub const CUSTOM_ID_LIMIT: usize = 256;
-/// Bytes of a line beside its body.
+/// Maximum size of a line apart from its body, in bytes.
 const LINE_EXTRA_BYTES: usize = 4 * 1024;
-/// Longest line, in bytes.
+/// Maximum length of a line, in bytes.
 const LINE_LIMIT: usize = ITEM_BODY_LIMIT + LINE_EXTRA_BYTES;
-/// The only method of a line.
+/// The only accepted value of `method`.
 const METHOD: &str = "POST";
 
-/// What is wrong with one line.
+/// A validation error of one line.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {message}")]
 pub struct LineProblem {
-    /// The line, from 1.
+    /// Line number, counted from 1.
     pub line: u32,
-    /// The word of `docs/API.md`.
+    /// Failure code, as listed in `docs/API.md`.
     pub code: FailureCode,
-    /// What would be right.
+    /// Description of what is expected.
     pub message: String,
 }
 
@@ -52,14 +52,14 @@
     }
 }
 
-/// All lines of a body, checked.
+/// The validated lines of a whole body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BatchLines {
     /// The service that every line names.
     pub service: String,
-    /// The items in order.
+    /// The items in the order of their lines.
     pub items: Vec<ItemInput>,
-    /// Digest of the whole body.
+    /// SHA-256 digest of the raw body.
     pub digest: Digest,
 }
 
@@ -78,7 +78,7 @@
     at_most_once: bool,
 }
 
-/// Reads a body piece by piece.
+/// Incremental parser of a body that arrives in chunks.
 #[derive(Debug, Default)]
 pub struct LineReader {
     hasher: Sha256,
@@ -86,20 +86,20 @@
     line: u32,
     service: Option<String>,
     items: Vec<ItemInput>,
-    /// The line of each item.
+    /// Line number of each item.
     lines: Vec<u32>,
 }
 
 impl LineReader {
-    /// The service that the first line names, once it was read.
+    /// Returns the service named by the first item, or `None` before that line is parsed.
     pub fn service(&self) -> Option<&str> {
         self.service.as_deref()
     }
 
-    /// Takes the next piece of the body.
+    /// Parses the next chunk of the body.
     ///
     /// # Errors
-    /// The first problem of a line that ends in this piece.
+    /// Returns the first problem of a line that ends in this chunk.
     pub fn push(&mut self, mut bytes: &[u8]) -> Result<(), LineProblem> {
         self.hasher.update(bytes);
         while let Some(at) = bytes.iter().position(|byte| *byte == b'\n') {
@@ -111,10 +111,10 @@
         self.check_length(self.rest.len())
     }
 
-    /// The body has ended.
+    /// Parses the rest of the body at its end and checks the lines as a whole.
     ///
     /// # Errors
-    /// The problem of the last line, or one of the lines as a whole.
+    /// Returns a problem of the last line or of the lines as a whole.
     pub fn finish(mut self) -> Result<BatchLines, LineProblem> {
         self.end_line(&[])?;
         self.check_identifiers()?;
@@ -204,8 +204,8 @@
         Ok(())
     }
 
-    /// Finds the first line whose `custom_id` stands in an earlier one. Sorts
-    /// numbers of items, so it needs no second copy of the identifiers.
+    /// Rejects the first line that repeats the `custom_id` of an earlier one. Sorts item
+    /// indexes, which avoids a second copy of the identifiers.
     fn check_identifiers(&self) -> Result<(), LineProblem> {
         let identifier = |index: u32| self.items[index as usize].custom_id.as_str();
         let mut order: Vec<u32> = (0..self.items.len() as u32).collect();
@@ -238,7 +238,8 @@
         self.problem(code, format!("body: {problem}"))
     }
 
-    /// The library counts lines within what it was given, which is one line.
+    /// Converts a JSON error. serde_json counts lines within its input, which is a single
+    /// line here, so its line number is not used.
     fn json_problem(&self, error: &serde_json::Error) -> LineProblem {
         let code = match error.classify() {
             Category::Data => FailureCode::InvalidRequest,
--- a/crates/pinerill-node/src/jobs/memory.rs
+++ b/crates/pinerill-node/src/jobs/memory.rs
@@ -1,9 +1,8 @@
 //! Bounds the memory of batch bodies that are being received.
 //!
-//! A job's parts carry the digest and the number of items of the whole body,
-//! so a body is held until its last part has been acknowledged. All bodies
-//! together stay within one budget; a body that would break it is refused
-//! before anything of it was sent.
+//! Every part of a job carries the digest and the item count of the whole body, so a
+//! body stays in memory until its last part is acknowledged. All bodies share one
+//! budget; a body that would exceed it is rejected before any part of it is sent.
 
 use std::sync::Arc;
 
@@ -11,20 +10,20 @@
 
 use crate::failure::{FailureCode, RequestFailure};
 
-/// Bodies of the longest kind that may be received at once.
-const BODIES_AT_ONCE: u64 = 4;
-/// Bytes of one unit of the budget.
+/// Number of bodies of maximum length that fit into the budget.
+const CONCURRENT_BODIES: u64 = 4;
+/// Size of one unit of the budget, in bytes.
 const UNIT_BYTES: usize = 1_024;
-/// When to come back while the budget is used up, milliseconds.
+/// Retry delay sent to the caller while the budget is exhausted, in milliseconds.
 const RETRY_MS: u64 = 2_000;
 
-/// The budget of one node.
+/// Memory budget of one node for all bodies being received.
 #[derive(Debug)]
 pub struct IntakeMemory {
     units: Arc<Semaphore>,
 }
 
-/// What one body uses of the budget; given back when dropped.
+/// Share of the budget that one body uses; released on drop.
 #[derive(Debug)]
 pub struct BodyReservation {
     units: Arc<Semaphore>,
@@ -33,15 +32,15 @@
 }
 
 impl IntakeMemory {
-    /// Room for some bodies of `body_limit_kib`.
+    /// Creates a budget for four bodies of `body_limit_kib` KiB each.
     pub fn new(body_limit_kib: u64) -> Self {
-        let units = (body_limit_kib * BODIES_AT_ONCE) as usize;
+        let units = (body_limit_kib * CONCURRENT_BODIES) as usize;
         Self {
             units: Arc::new(Semaphore::new(units.min(Semaphore::MAX_PERMITS))),
         }
     }
 
-    /// A body of which nothing has arrived.
+    /// Returns an empty reservation for a new body.
     pub fn start(&self) -> BodyReservation {
         BodyReservation {
             units: self.units.clone(),
@@ -50,17 +49,17 @@
         }
     }
 
-    /// Units that are free.
+    /// Returns the unused budget in KiB.
     pub fn free_kib(&self) -> usize {
         self.units.available_permits()
     }
 }
 
 impl BodyReservation {
-    /// The body has grown by `bytes`.
+    /// Extends the reservation by `bytes`.
     ///
     /// # Errors
-    /// `overloaded` when the budget is used up.
+    /// `overloaded` if the remaining budget is too small.
     pub fn grow(&mut self, bytes: usize) -> Result<(), RequestFailure> {
         self.bytes += bytes;
         let wanted = self.bytes.div_ceil(UNIT_BYTES);
--- a/crates/pinerill-node/src/jobs/mod.rs
+++ b/crates/pinerill-node/src/jobs/mod.rs
@@ -1,5 +1,5 @@
-//! Batch jobs as callers submit and read them: the lines of a body, and the
-//! calls to the job groups.
+//! Batch jobs on behalf of callers: parses submitted bodies, bounds their memory, calls
+//! the job groups and formats the answers as JSON.
 
 mod client;
 mod lines;
--- a/crates/pinerill-node/src/jobs/submit.rs
+++ b/crates/pinerill-node/src/jobs/submit.rs
@@ -1,5 +1,6 @@
-//! A job's parts, and their way to its group. Each part may be sent again:
-//! the group says how far it has got, and the next part starts there.
+//! Splits a job into parts and sends them to its group. A part may be sent repeatedly:
+//! the group returns the number of items it has received, and the next part starts
+//! there.
 
 use std::time::Duration;
 
@@ -7,43 +8,46 @@
 use pinerill_types::{Digest, JobId, ServiceName, TenantName};
 use pinerill_wire::message::{Request, Response, SubmitJob, SubmitJobResponse};
 
-use super::client::{unfit, JobsClient};
+use super::client::{unexpected_response, JobsClient};
 use crate::failure::{FailureCode, RequestFailure};
 
-/// Most bytes of items in one part, unless one item alone has more.
+/// Maximum size of the items in one part, in bytes; a single larger item forms a part
+/// of its own.
 pub const PART_BYTES_LIMIT: usize = 1024 * 1024;
-/// Most items in one part.
+/// Maximum number of items in one part.
 pub const PART_ITEMS_LIMIT: usize = 4_096;
-/// Longest wait until one part is committed.
+/// Timeout for the commit of one part.
 const PART_TIMEOUT: Duration = Duration::from_secs(10);
-/// Parts after which the group had no more items than before; a group that
-/// dropped a job half received asks for it from the start once.
-const FRUITLESS_PARTS_LIMIT: u32 = 3;
+/// Maximum number of parts that do not increase the number of items received by the
+/// group. One such part is normal if the group discarded a partially received job: it
+/// then requests the job from the start.
+const NO_PROGRESS_PARTS_LIMIT: u32 = 3;
 
-/// A job before it is accepted.
+/// A validated job that its group has not yet accepted.
 #[derive(Debug, Clone)]
 pub struct NewJob {
-    /// Whose it is.
+    /// The tenant that submits the job.
     pub tenant: TenantName,
     /// The service that runs its items.
     pub service: ServiceName,
-    /// The caller's key.
+    /// Idempotency key supplied by the caller.
     pub idempotency_key: String,
     /// Digest of the whole body.
     pub body_digest: Digest,
-    /// All items.
+    /// All items, in the order of the body.
     pub items: Vec<ItemInput>,
-    /// When it should have ended, Unix milliseconds.
+    /// Deadline of the job, in Unix milliseconds.
     pub deadline_ms: u64,
-    /// Most items the tenant may have open in the group.
+    /// Maximum number of open items of the tenant in the group.
     pub open_items_limit: u32,
-    /// Attempts of an item before it ends as failed.
+    /// Number of attempts after which an item fails.
     pub attempts_limit: u32,
-    /// How long results stay after the end, milliseconds.
+    /// Retention time of the results after the job has ended, in milliseconds.
     pub retention_ms: u64,
 }
 
-/// The items of the part that starts at `first`: as many as fit.
+/// Returns the items of the part that starts at index `first`: as many as fit, at least
+/// one, or none past the end.
 pub fn next_part(items: &[ItemInput], first: usize) -> &[ItemInput] {
     let rest = items.get(first..).unwrap_or_default();
     let mut bytes = 0;
@@ -59,8 +63,8 @@
     /// Sends a job part by part until its group has accepted it.
     ///
     /// # Errors
-    /// What the caller is told; after an unknown outcome the same key and
-    /// body may be sent again.
+    /// Returns the failure for the caller. After an unknown outcome, the caller may safely
+    /// submit the same key and body again.
     pub async fn submit(&self, job: &NewJob) -> Result<JobStatus, RequestFailure> {
         let group = self.group_of(&job.tenant, &job.idempotency_key)?;
         let mut received = 0;
@@ -73,8 +77,8 @@
             if answer.received <= received {
                 fruitless += 1;
             }
-            if fruitless > FRUITLESS_PARTS_LIMIT {
-                return Err(stuck(answer.job));
+            if fruitless > NO_PROGRESS_PARTS_LIMIT {
+                return Err(no_progress_failure(answer.job));
             }
             received = answer.received;
         }
@@ -103,12 +107,12 @@
         let step = "submit job";
         match self.call(group, request, step, PART_TIMEOUT).await? {
             Response::SubmitJob(answer) => Ok(answer),
-            _ => Err(unfit(step)),
+            _ => Err(unexpected_response(step)),
         }
     }
 }
 
-fn stuck(job: JobId) -> RequestFailure {
+fn no_progress_failure(job: JobId) -> RequestFailure {
     let message = format!("the group of {job} does not take its parts");
     RequestFailure::unknown(FailureCode::ControlUnavailable, "submit job", message)
         .with_peer("control")
--- a/crates/pinerill-node/src/jobs/view.rs
+++ b/crates/pinerill-node/src/jobs/view.rs
@@ -1,4 +1,4 @@
-//! Jobs and results as callers see them: JSON.
+//! Formats jobs and results as JSON for callers.
 
 use pinerill_types::job::{ItemCounts, ItemState, JobState, JobStatus};
 use pinerill_types::ServiceName;
@@ -19,7 +19,7 @@
     expires_ms: u64,
 }
 
-/// A job as `docs/API.md` has it.
+/// Returns the JSON representation of a job, as described in `docs/API.md`.
 pub fn job_json(job: &JobStatus) -> Value {
     let body = JobBody {
         id: job.id.to_string(),
@@ -48,7 +48,7 @@
     body: &'a RawValue,
 }
 
-/// One ended item as a JSON line, with its end of line.
+/// Formats the result of one item as a JSON line, including the line terminator.
 pub fn result_line(result: &ItemResult) -> String {
     let answer = (result.state == ItemState::Completed)
         .then(|| serde_json::from_str::<&RawValue>(&result.body).ok())
@@ -66,7 +66,8 @@
     line
 }
 
-/// The reason as an object: as a node reported it, or as text of control.
+/// Returns the error as a JSON object: the object reported by a node, or one built from
+/// the text of a control machine.
 fn error_value(result: &ItemResult) -> Value {
     match serde_json::from_str::<Value>(&result.body) {
         Ok(value @ Value::Object(_)) => value,
--- a/crates/pinerill-node/src/lib.rs
+++ b/crates/pinerill-node/src/lib.rs
@@ -1,11 +1,11 @@
-//! A node: takes callers' requests over HTTP, runs them at engines, and runs
-//! batch items on the workers it drives.
+//! A node accepts callers' requests over HTTP, runs them on the engines of workers, and
+//! runs batch items on the workers assigned to it.
 //!
-//! A request's way: [`gateway`] → [`dispatcher`] → [`online`] → [`engine`].
-//! Decisions are pure ([`configuration::ConfigurationState`], [`routing`],
+//! A request passes through [`gateway`] → [`dispatcher`] → [`online`] → [`engine`].
+//! Decision logic is free of I/O ([`configuration::ConfigurationState`], [`routing`],
 //! [`queue`], [`admission`], [`membership::Health`], [`engine::Assembly`],
-//! `online::decide`, `batch::Window`); thin shells around them own sockets,
-//! clocks and random numbers.
+//! `online::decide`, `batch::Window`); the thin layers around it own sockets, clocks
+//! and random numbers.
 
 pub mod admission;
 pub mod batch;
--- a/crates/pinerill-node/src/metrics.rs
+++ b/crates/pinerill-node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of the node, in the usual text format.
+//! Prometheus metrics of the node, exported in the Prometheus text format.
 
 use prometheus::{
     Encoder, Histogram, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge,
@@ -7,17 +7,17 @@
 
 use crate::engine::{AnswerReader, Progress};
 
-/// Bounds of latency histograms, seconds.
+/// Upper bounds of the buckets of latency histograms, in seconds.
 const LATENCY_BOUNDS: [f64; 12] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.6, 1.0, 2.5, 5.0, 10.0, 30.0,
 ];
 
-/// All counters of the process.
+/// All metrics of the node, held in one registry.
 #[derive(Debug)]
 #[allow(missing_docs)]
 pub struct Metrics {
     registry: Registry,
-    /// Online requests by how they ended: `completed`, a failure's code, or `caller_gone`.
+    /// Online requests by outcome: `completed`, a failure code, or `caller_gone`.
     pub requests: IntCounterVec,
     /// Online requests by target: `engine` or `script`.
     pub targets: IntCounterVec,
@@ -32,14 +32,15 @@
     pub tokens: IntCounterVec,
     pub in_flight: IntGauge,
     pub queued: IntGauge,
-    /// Time to the first token as the node sees it.
+    /// Time to the first token as observed by the node, in seconds, by service.
     pub first_token: HistogramVec,
-    /// Submitted jobs: `accepted` or a failure's code.
+    /// Submitted batch jobs by outcome: `accepted` or a failure code.
     pub jobs: IntCounterVec,
     pub batch_leased: IntCounter,
-    /// From the sign of online work to the engine's word that an item paused.
+    /// Time from the signal that online work is waiting to the engine's confirmation that a
+    /// batch item is paused, in seconds.
     pub batch_yield_seconds: Histogram,
-    /// Batch items by the verdict on their report.
+    /// Batch attempts by the verdict of the job group on their report.
     pub batch_items: IntCounterVec,
     pub batch_running: IntGauge,
     pub batch_paused: IntGauge,
@@ -52,11 +53,11 @@
     pub bundle_version: IntGauge,
     pub leaving_signs: IntCounter,
     pub connect_failures: IntCounter,
-    /// Bytes to and from control machines: `out` or `in`.
+    /// Bytes sent to (`out`) and received from (`in`) control machines.
     pub control_bytes: IntCounterVec,
-    /// Workers that the node uses, by state: `reporting`, `silent` or `leaving`.
+    /// Workers in use by state: `reporting`, `silent` or `leaving`.
     pub workers: IntGaugeVec,
-    /// Milliseconds that the configuration lease still lasts.
+    /// Remaining time of the configuration lease, in milliseconds.
     pub lease_left_ms: IntGauge,
     pub prefix_hints: IntCounter,
 }
@@ -111,10 +112,10 @@
 }
 
 impl Metrics {
-    /// Registers every counter.
+    /// Creates and registers all metrics.
     ///
     /// # Errors
-    /// Only for a name that stands twice.
+    /// Returns an error if a metric is invalid or its name is registered twice.
     pub fn new() -> prometheus::Result<Self> {
         let build = Builder(Registry::new());
         Ok(Self {
@@ -172,7 +173,8 @@
         })
     }
 
-    /// Counts what reading an answer dropped or found wrong.
+    /// Adds the frames that `reader` dropped since the last call, and a digest mismatch if
+    /// `progress` reports one.
     pub fn count_reading(&self, reader: &mut AnswerReader, progress: &Progress) {
         let dropped = reader.take_dropped();
         self.frames_foreign.inc_by(dropped.foreign);
@@ -182,17 +184,18 @@
         }
     }
 
-    /// The usual text format.
+    /// Encodes all metrics in the Prometheus text format.
     ///
     /// # Errors
-    /// The encoder's message.
+    /// Returns the error of the text encoder.
     pub fn text(&self) -> prometheus::Result<String> {
         let mut buffer = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut buffer)?;
         Ok(String::from_utf8_lossy(&buffer).into_owned())
     }
 
-    /// All counters above 0 as one line for the log.
+    /// Formats all counters and gauges that are not 0 as one log line of `name{label
+    /// values}=value` pairs. Histograms are omitted.
     pub fn line(&self) -> String {
         let mut parts = Vec::new();
         for family in self.registry.gather() {
--- a/crates/pinerill-node/src/monitoring.rs
+++ b/crates/pinerill-node/src/monitoring.rs
@@ -1,13 +1,14 @@
-//! What operators look at.
+//! Monitoring endpoints for operators and load balancers.
 
 use pinerill_process::Monitored;
 
 use crate::node::Node;
 use crate::{clock, gauges};
 
-/// Readiness ends when this part of the configuration lease is left: at the
-/// default of 5 s, 1.25 s before requests are refused. Watches renew the lease
-/// each second, and one that fails still leaves more than that.
+/// The node stops being ready when this fraction of the configuration lease remains:
+/// with the default lease of 5 s, 1.25 s before requests are rejected. The watch renews
+/// the lease every second, and after one failed renewal more than this fraction still
+/// remains.
 const READINESS_LEAD_PART: u64 = 4;
 
 impl Monitored for Node {
@@ -29,8 +30,8 @@
     }
 }
 
-/// Readiness ends before the lease does, so that load balancers have turned
-/// away by the time requests are refused.
+/// Readiness ends before the lease does, so that load balancers have stopped sending
+/// requests by the time the node rejects them.
 fn unconfirmed_reason(node: &Node) -> Option<&'static str> {
     let Some(catalog) = node.configuration.catalog() else {
         return Some("no bundle was confirmed yet");
--- a/crates/pinerill-node/src/node.rs
+++ b/crates/pinerill-node/src/node.rs
@@ -1,4 +1,4 @@
-//! What the parts of one node share.
+//! State shared by the components of one node.
 
 use std::sync::Arc;
 
@@ -20,45 +20,46 @@
 use crate::metrics::Metrics;
 use crate::online::ExecutionContext;
 
-/// The shared parts of one node.
+/// Shared components of one node.
 pub struct Node {
-    /// Its settings.
+    /// Settings of the node, constant while it runs.
     pub settings: NodeSettings,
-    /// Random number of this start.
+    /// Random number that distinguishes this start of the node from earlier ones.
     pub incarnation: u64,
-    /// Control machines.
+    /// Client for calls to the control machines.
     pub api: Arc<dyn ControlApi>,
-    /// The bundle in force.
+    /// The configuration bundle in force and its lease.
     pub configuration: Arc<Configuration>,
-    /// Workers and engines.
+    /// Known workers and their engines.
     pub fleet: Arc<Fleet>,
-    /// Replicated groups.
+    /// Known replicated groups and their backlogs.
     pub groups: Arc<Groups>,
-    /// What online requests share.
+    /// State shared by all online requests.
     pub execution: Arc<ExecutionContext>,
-    /// Stop of its batch side.
+    /// Stops batch execution and reports when it has ended.
     pub batch: Arc<BatchControl>,
-    /// Callers' batch jobs.
+    /// Client for callers' batch jobs in the job groups.
     pub jobs: JobsClient,
-    /// Memory of batch bodies that arrive.
+    /// Memory budget for batch bodies being received.
     pub intake: IntakeMemory,
-    /// Limits of tenants.
+    /// Admission limits of tenants.
     pub limits: Arc<Mutex<TenantLimits>>,
-    /// Requests in flight and the planned stop.
+    /// Requests in flight and the state of a planned stop.
     pub drain: Arc<Drain>,
-    /// Callers who went away.
+    /// Detects callers that have disconnected.
     pub disconnects: Arc<Disconnects>,
-    /// Counters.
+    /// Prometheus metrics of this node.
     pub metrics: Arc<Metrics>,
-    /// Bytes to and from control machines, when the connections are its own.
+    /// Byte counters of the connections to control machines; `None` if the node did not
+    /// open the connections itself.
     pub link: Option<Arc<LinkCounters>>,
 }
 
 impl Node {
-    /// A node that has not begun to watch or listen.
+    /// Creates a node that does not yet watch the control machines or listen for requests.
     ///
     /// # Errors
-    /// When counters or connections can't be set up.
+    /// Returns an error if metrics or connections can't be set up.
     pub fn new(
         settings: NodeSettings,
         api: Arc<dyn ControlApi>,
--- a/crates/pinerill-node/src/run.rs
+++ b/crates/pinerill-node/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of a node, and stops them in a planned way.
+//! Starts the components of a node, and drains and stops them on a signal.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,20 +18,20 @@
 use crate::membership::WorkerPoller;
 use crate::node::Node;
 
-/// How long requests are refused before the listener closes, so that callers
-/// who are on their way get an answer.
+/// Minimum time for which new requests are rejected before the listener closes, so that
+/// callers that are just connecting receive an answer.
 const REFUSAL_LEAD: Duration = Duration::from_millis(200);
 
-/// Why a node ended with an error.
+/// Reasons for which a node fails to start or to stop cleanly.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The settings have no section `node`.
+    /// The settings have no `node` section.
     #[error("start node with settings: the section [node] is missing")]
     NoSettings,
-    /// The planned stop ended before all requests did.
+    /// The drain ended while requests were still in flight.
     #[error("stop node: {cut} requests in flight were cut")]
     Cut {
-        /// How many.
+        /// Number of requests and batch items that were cut off.
         cut: usize,
     },
 }
@@ -39,7 +39,7 @@
 /// Runs a node until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// When it can't start, or when the stop cut requests.
+/// Returns an error if the node can't start, or if the stop cut off requests in flight.
 pub async fn run(settings: Settings) -> anyhow::Result<()> {
     let client = Arc::new(control_client(&settings)?);
     let link = client.counters().clone();
@@ -60,10 +60,11 @@
     Ok(ControlClient::new(identity, &settings.cluster.controls))
 }
 
-/// Runs a node until it is told to stop.
+/// Runs a node that calls the control machines through `api`, until `signals` requests
+/// a stop.
 ///
 /// # Errors
-/// When it can't start, or when the stop cut requests.
+/// Returns an error if the node can't start, or if the stop cut off requests in flight.
 pub async fn run_with(
     settings: Settings,
     api: Arc<dyn ControlApi>,
@@ -144,8 +145,9 @@
     log::info!("counters: {}", node.metrics.line());
 }
 
-/// Shows that the node stops while it still takes requests, then lets what is
-/// in flight finish. Returns how many requests were cut.
+/// Announces the stop while requests are still accepted, then rejects new ones and
+/// waits for those in flight. Returns the number of requests that were cut off, 0 if
+/// all finished.
 async fn drain(node: &Arc<Node>, signals: &StopSignals) -> usize {
     log::info!("stop begins, {} requests in flight", node.drain.in_flight());
     node.drain.announce();
--- a/crates/pinerill-node/tests/support/control.rs
+++ b/crates/pinerill-node/tests/support/control.rs
@@ -1,4 +1,4 @@
-//! Stands in for the control machines: one bundle, one directory, job groups.
+//! Fake control machines with one bundle, one directory and in-memory job groups.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -16,17 +16,17 @@
 
 use super::jobs::FakeJobs;
 
-/// Job groups of the stand-in.
+/// Number of job groups.
 pub const JOB_GROUPS: u32 = 4;
-/// How long a watch without news stays open.
+/// Time for which a watch without changes stays open.
 const WATCH_WAIT: Duration = Duration::from_millis(20);
 
-/// What happens to a call to a job group instead of the usual.
+/// Fault injected into a call to a job group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// It is carried out, and the answer is lost.
+    /// The call is executed, but its answer is lost.
     AnswerLost,
-    /// It does not arrive.
+    /// The call never arrives.
     NotSent,
 }
 
@@ -39,22 +39,22 @@
 
 type ChosenFault = (fn(&Request) -> bool, Fault);
 
-/// The stand-in.
+/// In-process replacement of the control machines.
 pub struct FakeControl {
     /// The bundle in force.
     pub bundle: Mutex<Bundle>,
     directory: Mutex<FakeDirectory>,
     /// Jobs of all groups.
     pub jobs: Mutex<FakeJobs>,
-    /// Faults of the next calls to job groups that `fault_at` chooses.
+    /// Pending faults, each with the predicate of the calls it applies to.
     faults: Mutex<VecDeque<ChosenFault>>,
-    /// No call is answered.
+    /// When set, no call is answered.
     pub cut_off: AtomicBool,
-    /// Signs of leaving that nodes sent.
+    /// Leaving signals received from nodes.
     pub leaving: Mutex<Vec<LeavingSign>>,
-    /// Watches so far.
+    /// Number of watch calls received.
     pub watches: AtomicU64,
-    /// Every call to a job group.
+    /// Every received call to a job group, in order.
     pub calls: Mutex<Vec<Request>>,
 }
 
@@ -72,14 +72,14 @@
         }
     }
 
-    /// The directory now lists these workers.
+    /// Replaces the workers in the directory.
     pub fn list_workers(&self, workers: Vec<WorkerRecord>) {
         let mut directory = self.directory.lock();
         directory.workers = workers;
         directory.revision += 1;
     }
 
-    /// The next call that `chosen` picks meets this fault.
+    /// Injects `fault` into the next call that matches `chosen`.
     pub fn fault(&self, chosen: fn(&Request) -> bool, fault: Fault) {
         self.faults.lock().push_back((chosen, fault));
     }
@@ -90,7 +90,7 @@
         faults.remove(at).map(|(_, fault)| fault)
     }
 
-    /// How many calls to job groups `chosen` picks.
+    /// Returns the number of calls to job groups that match `chosen`.
     pub fn count(&self, chosen: impl Fn(&Request) -> bool) -> usize {
         self.calls.lock().iter().filter(|call| chosen(call)).count()
     }
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The whole directory when workers or backlogs changed.
+    /// Returns the whole directory if workers or backlogs have changed.
     fn directory_since(&self, watch: &WatchRequest) -> Option<DirectoryUpdate> {
         let groups = self.groups();
         let mut directory = self.directory.lock();
--- a/crates/pinerill-node/tests/support/jobs.rs
+++ b/crates/pinerill-node/tests/support/jobs.rs
@@ -1,4 +1,4 @@
-//! A plain model of the job groups, all in memory.
+//! In-memory model of the job groups.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
     Request, Response, ServiceBacklog, SubmitJob, SubmitJobResponse,
 };
 
-/// Most items of one page, so that a job has several.
+/// Maximum number of items per page, small enough that a job has several pages.
 const PAGE_LIMIT: usize = 3;
 
 #[derive(Debug)]
@@ -20,11 +20,11 @@
     pub input: ItemInput,
     pub state: ItemState,
     pub attempt: u32,
-    /// When its lease ends, by [`FakeJobs::now_ms`].
+    /// Expiry of the lease, on the clock [`FakeJobs::now_ms`].
     pub lease_end_ms: u64,
-    /// The answer or the reason.
+    /// The answer, or the reason of the failure.
     pub body: String,
-    /// Every end that a node reported, counted or not.
+    /// Every reported end of an attempt, whether accepted or not.
     pub reports: Vec<AttemptEnd>,
 }
 
@@ -36,13 +36,13 @@
     pub items: Vec<Item>,
 }
 
-/// All jobs.
+/// Jobs of all groups.
 #[derive(Debug, Default)]
 pub struct FakeJobs {
     pub jobs: BTreeMap<JobId, Job>,
-    /// The groups' clock.
+    /// Clock of the groups, in milliseconds.
     pub now_ms: u64,
-    /// Answers to lease questions by group, node, incarnation and sequence.
+    /// Answers to lease requests by group, node, incarnation and sequence number.
     leased: BTreeMap<(u32, NodeName, u64, u64), Vec<LeasedItem>>,
 }
 
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The refusal of a call about a job of another tenant.
+    /// Returns a refusal if the call concerns a job of another tenant.
     fn foreign(&self, request: &Request) -> Option<Response> {
         let (id, tenant) = match request {
             Request::JobStatus(ask) => (ask.job, &ask.tenant),
@@ -242,7 +242,7 @@
         holds
     }
 
-    /// Ends the leases that have run out.
+    /// Ends the leases that have expired.
     pub fn expire(&mut self) {
         let now_ms = self.now_ms;
         let items = self.jobs.values_mut().flat_map(|job| &mut job.items);
@@ -285,7 +285,7 @@
         AttemptVerdict::Counted
     }
 
-    /// Items of all jobs in this state.
+    /// Returns the number of items in this state across all jobs.
     pub fn count(&self, state: ItemState) -> usize {
         let items = self.jobs.values().flat_map(|job| &job.items);
         items.filter(|item| item.state == state).count()
--- a/crates/pinerill-node/tests/support/mod.rs
+++ b/crates/pinerill-node/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A node in this process, with stand-ins for control machines and workers.
+//! Runs a node in the test process, with fake control machines and workers.
 
 #![allow(dead_code)]
 
@@ -23,7 +23,7 @@
 
 /// Bearer key of the tenant `crew`.
 pub const KEY: &str = "crew-key";
-/// Longest wait for a condition; reaching it fails the test.
+/// Timeout for a condition; the test fails when it is exceeded.
 const PATIENCE: Duration = Duration::from_secs(20);
 const FIRST_PORT: u16 = 12_000;
 const PORTS: u32 = 18_000;
@@ -66,8 +66,8 @@
     Bundle::from_toml(&text).expect("a bundle")
 }
 
-/// An address of loopback that is free, and that no outgoing connection takes:
-/// it lies below the range from which the system gives those their ports.
+/// Returns a free loopback address whose port lies below the ephemeral range, so that
+/// no outgoing connection can occupy it.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let first = std::process::id().wrapping_mul(PORTS_PER_PROCESS) % PORTS;
@@ -98,12 +98,12 @@
 }
 
 impl TestNode {
-    /// A node that has taken the bundle of `control` in.
+    /// Starts a node and waits until it has applied the bundle of `control`.
     pub async fn start(control: Arc<FakeControl>) -> Self {
         Self::start_with(control, |_| ()).await
     }
 
-    /// The same, with other settings.
+    /// Starts a node like `start`, with modified settings.
     pub async fn start_with(
         control: Arc<FakeControl>,
         change: impl FnOnce(&mut NodeSettings),
@@ -151,7 +151,7 @@
         assert!(waited.await.is_ok(), "the node takes the bundle in");
     }
 
-    /// The text of `/metrics`; empty while the node does not listen.
+    /// Returns the text of `/metrics`; empty while the node does not listen.
     pub async fn metrics(&self) -> String {
         let url = format!("http://{}/metrics", self.admin);
         match self.http.get(url).send().await {
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Status and text of `/readyz`.
+    /// Returns the status and text of `/readyz`.
     pub async fn readiness(&self) -> (u16, String) {
         let url = format!("http://{}/readyz", self.admin);
         let response = self.http.get(url).send().await.expect("an answer");
@@ -168,7 +168,7 @@
         (status, response.text().await.expect("a text"))
     }
 
-    /// The value of one metric's line, such as `requests_total{end="completed"}`.
+    /// Returns the value of one metric line, such as `requests_total{end="completed"}`.
     pub async fn metric(&self, line: &str) -> f64 {
         let start = format!("pinerill_node_{line} ");
         let text = self.metrics().await;
@@ -176,7 +176,7 @@
         value.map_or(0.0, |value| value.parse().expect("a number"))
     }
 
-    /// Waits until a metric's value fits.
+    /// Waits until the value of a metric satisfies `fits`.
     pub async fn until_metric(&self, line: &str, fits: impl Fn(f64) -> bool) {
         let waited = tokio::time::timeout(PATIENCE, async {
             while !fits(self.metric(line).await) {
@@ -233,20 +233,20 @@
     }
 }
 
-/// An online request as `crew`, of four tokens.
+/// Builds an online request of the tenant `crew` for four tokens.
 pub fn online(node: &TestNode, prompt: &str) -> reqwest::RequestBuilder {
     let body = serde_json::json!({"model": "fanar", "prompt": prompt, "max_tokens": 4});
     let request = node.http.post(node.url("/v1/completions"));
     request.bearer_auth(KEY).json(&body)
 }
 
-/// Code and outcome of a failure, or why there is none.
+/// Returns the code and outcome of a failure, or why there is none.
 pub fn error_of(body: &Value) -> (&str, &str) {
     let text = |field: &str| body["error"][field].as_str().unwrap_or("no error");
     (text("code"), text("outcome"))
 }
 
-/// Status and JSON body.
+/// Sends a request and returns the status and the JSON body.
 pub async fn answer(request: reqwest::RequestBuilder) -> (u16, Value) {
     let response = request.send().await.expect("an answer");
     let status = response.status().as_u16();
@@ -278,7 +278,7 @@
     format!("{line}\n")
 }
 
-/// The same, never to be repeated.
+/// Builds a batch line like `line` whose item must not be retried.
 pub fn once(custom_id: &str, prompt: &str) -> String {
     line(custom_id, prompt).replacen('{', "{\"at_most_once\":true,", 1)
 }
--- a/crates/pinerill-node/tests/support/proxy.rs
+++ b/crates/pinerill-node/tests/support/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy before a stand-in, that can cut what passes.
+//! TCP proxy in front of a fake peer that can cut connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinSet;
 
-/// The proxy; ends when dropped.
+/// A running proxy; stops on drop.
 pub struct Proxy {
     pub address: SocketAddr,
     connections: Arc<Mutex<JoinSet<()>>>,
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Cuts all connections; new ones pass.
+    /// Cuts all connections; new ones are accepted.
     pub fn cut(&self) {
         self.connections.lock().abort_all();
     }
 
-    /// Cuts all connections and takes no new ones.
+    /// Cuts all connections and accepts no new ones.
     pub fn gone(&self) {
         self.listener.abort();
         self.cut();
--- a/crates/pinerill-node/tests/support/worker.rs
+++ b/crates/pinerill-node/tests/support/worker.rs
@@ -1,6 +1,6 @@
-//! Stands in for a worker with its engines. The test says how it behaves and
-//! sees what came. An answer's text is made of its prompt, so that a crossed,
-//! cut or doubled one shows.
+//! Fake worker with engines. The test controls its behaviour and inspects the received
+//! requests. The text of an answer is derived from its prompt, so that a mixed-up,
+//! truncated or duplicated answer is detected.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,9 +20,9 @@
 
 use super::free_address;
 
-const LOOK_PAUSE: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Where a request is.
+/// Execution state of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
     Running,
@@ -31,7 +31,7 @@
     Cancelled,
 }
 
-/// One request that came.
+/// A received request.
 #[derive(Debug, Clone)]
 pub struct Came {
     pub engine: u16,
@@ -44,38 +44,38 @@
     pub sent: u32,
 }
 
-/// How the worker behaves, and what came.
+/// Configured behaviour of the worker and the requests it has received.
 #[derive(Debug)]
 pub struct Model {
     pub incarnation: u64,
     pub leaving: bool,
     pub slots: u32,
     pub models: Vec<String>,
-    /// Role in the load report.
+    /// Role stated in the load report.
     pub role: &'static str,
     pub preemptions: u64,
-    /// Online requests of others in the load report.
+    /// Number of online requests of other nodes stated in the load report.
     pub online_elsewhere: u32,
-    /// Requests give this many tokens and then wait.
+    /// Requests produce this many tokens and then wait.
     pub hold_after: Option<u32>,
-    /// Load reports stay as they were.
+    /// When set, the load report does not change.
     pub frozen_report: bool,
     last_report: Value,
-    /// Reports so far.
+    /// Number of load reports sent.
     pub reports: u32,
-    /// Attaches are refused as unknown.
+    /// When set, attach requests are refused as unknown.
     pub forgetful: bool,
-    /// No answer begins.
+    /// When set, no answer begins.
     pub hold_heads: bool,
-    /// All requests are refused so.
+    /// If present, all requests are refused with this status and code.
     pub refusal: Option<(u16, &'static str)>,
-    /// Streams that began before this was raised end early.
+    /// Streams that began before this number was increased end early.
     pub cuts: u32,
     /// Requests by `ENGINE/IDENTIFIER`.
     pub came: BTreeMap<String, Came>,
-    /// Identifiers in the order of their arrival, refused ones too.
+    /// Identifiers in order of arrival, including refused requests.
     pub arrivals: Vec<String>,
-    /// `ENGINE/IDENTIFIER` of those that were to be cancelled.
+    /// `ENGINE/IDENTIFIER` of the requests for which a cancel arrived.
     pub cancels: Vec<String>,
 }
 
@@ -97,7 +97,7 @@
 }
 
 impl FakeWorker {
-    /// A worker that holds `fanar-8b@1` and answers at once.
+    /// Starts a worker that has the model `fanar-8b@1` loaded and answers immediately.
     pub async fn start(name: &str, engines: u16) -> Self {
         let address = free_address();
         let model = Arc::new(Mutex::new(Model {
@@ -143,7 +143,7 @@
         let shutdown = server.shutdown();
         tokio::spawn(server.launch());
         while tokio::net::TcpStream::connect(address).await.is_err() {
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Self {
             name: name.to_owned(),
@@ -154,12 +154,12 @@
         }
     }
 
-    /// Its record of the platform's list.
+    /// Returns the directory record of this worker.
     pub fn record(&self) -> WorkerRecord {
         self.record_at(self.address)
     }
 
-    /// The same, behind another address.
+    /// Returns the directory record with another address.
     pub fn record_at(&self, address: SocketAddr) -> WorkerRecord {
         WorkerRecord {
             name: self.name.as_str().into(),
@@ -171,7 +171,7 @@
         }
     }
 
-    /// How many requests are in this stage.
+    /// Returns the number of requests in this stage.
     pub fn count(&self, batch: bool, stage: Stage) -> usize {
         let model = self.model.lock();
         let came = model.came.values();
@@ -296,7 +296,7 @@
         model.came.insert(key.clone(), came);
     }
     while model.lock().hold_heads {
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(answer(model.inner().clone(), key, head.continue_from))
 }
@@ -324,7 +324,7 @@
                 Next::Cut => return None,
                 Next::Wait => {}
             }
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     });
     Answer(TextStream(Box::pin(events)))
@@ -337,12 +337,12 @@
     Wait,
 }
 
-/// Token `index` of the answer to a prompt.
+/// Returns token `index` of the answer to a prompt.
 pub fn token(prompt: &str, index: u32) -> String {
     format!("{prompt}:{index} ")
 }
 
-/// The whole answer to a prompt.
+/// Returns the whole answer to a prompt.
 pub fn text(prompt: &str, total: u32) -> String {
     (0..total).map(|index| token(prompt, index)).collect()
 }
@@ -407,15 +407,15 @@
 
 #[post("/engines/<engine>/v1/requests/<id>/pause")]
 fn pause(model: &State<Shared>, engine: u16, id: String) -> Json<Value> {
-    step_aside(model, &key(engine, &id), Stage::Running, Stage::Paused)
+    change_stage(model, &key(engine, &id), Stage::Running, Stage::Paused)
 }
 
 #[post("/engines/<engine>/v1/requests/<id>/unpause")]
 fn unpause(model: &State<Shared>, engine: u16, id: String) -> Json<Value> {
-    step_aside(model, &key(engine, &id), Stage::Paused, Stage::Running)
+    change_stage(model, &key(engine, &id), Stage::Paused, Stage::Running)
 }
 
-fn step_aside(model: &State<Shared>, id: &str, from: Stage, to: Stage) -> Json<Value> {
+fn change_stage(model: &State<Shared>, id: &str, from: Stage, to: Stage) -> Json<Value> {
     let mut model = model.lock();
     let came = model.came.get_mut(id);
     let state = match came {
