--- a/crates/pinerill-node/src/metrics.rs
+++ b/crates/pinerill-node/src/metrics.rs
@@ -37,7 +37,7 @@
     /// Submitted batch jobs by outcome: `accepted` or a failure code.
     pub jobs: IntCounterVec,
     pub batch_leased: IntCounter,
-    /// Time from the signal that online work is waiting to the engine's confirmation that a
+    /// Time from the detection of online work to the engine's confirmation that a
     /// batch item is paused, in seconds.
     pub batch_yield_seconds: Histogram,
     /// Batch attempts by the verdict of the job group on their report.
@@ -194,8 +194,8 @@
         Ok(String::from_utf8_lossy(&buffer).into_owned())
     }
 
-    /// Formats all counters and gauges that are not 0 as one log line of `name{label
-    /// values}=value` pairs. Histograms are omitted.
+    /// Formats all counters and gauges that are not 0 as one log line of pairs such as
+    /// `requests_total{completed}=3`. Histograms are omitted.
     pub fn line(&self) -> String {
         let mut parts = Vec::new();
         for family in self.registry.gather() {
--- a/crates/pinerill-node/src/monitoring.rs
+++ b/crates/pinerill-node/src/monitoring.rs
@@ -5,10 +5,10 @@
 use crate::node::Node;
 use crate::{clock, gauges};
 
-/// The node stops being ready when this fraction of the configuration lease remains:
-/// with the default lease of 5 s, 1.25 s before requests are rejected. The watch renews
-/// the lease every second, and after one failed renewal more than this fraction still
-/// remains.
+/// Divisor of the configuration lease: the node stops being ready when the remaining
+/// time falls to the lease divided by this number, which is 1.25 s before requests are
+/// rejected with the default lease of 5 s. The watch renews the lease every second, and
+/// after one failed renewal more time than that still remains.
 const READINESS_LEAD_PART: u64 = 4;
 
 impl Monitored for Node {
--- a/crates/pinerill-node/tests/support/mod.rs
+++ b/crates/pinerill-node/tests/support/mod.rs
@@ -28,13 +28,13 @@
 const FIRST_PORT: u16 = 12_000;
 const PORTS: u32 = 18_000;
 const PORTS_PER_PROCESS: u32 = 128;
-const LOOK_PAUSE: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Waits until `condition` holds.
 pub async fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let waited = tokio::time::timeout(PATIENCE, async {
         while !condition() {
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     });
     assert!(waited.await.is_ok(), "not within the test's time: {what}");
@@ -145,7 +145,7 @@
                 .await
                 .contains("pinerill_node_bundle_version 1")
             {
-                tokio::time::sleep(LOOK_PAUSE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         });
         assert!(waited.await.is_ok(), "the node takes the bundle in");
@@ -180,7 +180,7 @@
     pub async fn until_metric(&self, line: &str, fits: impl Fn(f64) -> bool) {
         let waited = tokio::time::timeout(PATIENCE, async {
             while !fits(self.metric(line).await) {
-                tokio::time::sleep(LOOK_PAUSE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         });
         assert!(waited.await.is_ok(), "not within the test's time: {line}");
@@ -190,7 +190,7 @@
     pub async fn until_ready(&self, status: u16) {
         let waited = tokio::time::timeout(PATIENCE, async {
             while self.readiness().await.0 != status {
-                tokio::time::sleep(LOOK_PAUSE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         });
         assert!(
@@ -204,7 +204,7 @@
         let wanted = (503, format!("{reason}\n"));
         let waited = tokio::time::timeout(PATIENCE, async {
             while self.readiness().await != wanted {
-                tokio::time::sleep(LOOK_PAUSE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         });
         assert!(
--- a/crates/pinerill-node/tests/support/worker.rs
+++ b/crates/pinerill-node/tests/support/worker.rs
@@ -33,7 +33,7 @@
 
 /// A received request.
 #[derive(Debug, Clone)]
-pub struct Came {
+pub struct ReceivedRequest {
     pub engine: u16,
     pub batch: bool,
     pub model: String,
@@ -72,7 +72,7 @@
     /// Streams that began before this number was increased end early.
     pub cuts: u32,
     /// Requests by `ENGINE/IDENTIFIER`.
-    pub came: BTreeMap<String, Came>,
+    pub came: BTreeMap<String, ReceivedRequest>,
     /// Identifiers in order of arrival, including refused requests.
     pub arrivals: Vec<String>,
     /// `ENGINE/IDENTIFIER` of the requests for which a cancel arrived.
@@ -283,7 +283,7 @@
         if model.cancels.contains(&key) {
             return Err(refused(503, "cancelled_before_start"));
         }
-        let came = Came {
+        let came = ReceivedRequest {
             engine,
             batch: head.batch,
             model: name,
